--- a/crates/budget/tests/fuzz.rs
+++ b/crates/budget/tests/fuzz.rs
@@ -2,11 +2,11 @@
 //! `FUZZ_ROUNDS` says (a fixed one by default, so that the verdict is the same each time). `corpus/` holds messages of every
 //! kind and what was worth keeping; `FUZZ_WRITE=1` writes the first ones anew.
 
-#[path = "../../membership/tests/mutants/mod.rs"]
-mod mutants;
+#[path = "../../membership/tests/mutation/mod.rs"]
+mod mutation;
 
 use cometcroft_budget::{Budget, Config, Kind, Time, Whole};
-use mutants::{corpus, kept, mutate, rounds};
+use mutation::{corpus_dir, mutate, read_corpus, rounds};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
 fn the_corpus_holds_messages_of_every_kind() {
     if std::env::var("FUZZ_WRITE").is_ok() {
         let (_, said, _) = share(10);
-        std::fs::create_dir_all(corpus()).expect("a folder");
+        std::fs::create_dir_all(corpus_dir()).expect("a folder");
         let mut kinds: Vec<&Vec<u8>> = Vec::new();
         for bytes in &said {
             // The body's first byte is its kind.
@@ -63,10 +63,10 @@
             }
         }
         for (i, bytes) in kinds.iter().enumerate() {
-            std::fs::write(corpus().join(format!("said-{i:02}")), bytes).expect("written");
+            std::fs::write(corpus_dir().join(format!("said-{i:02}")), bytes).expect("written");
         }
     }
-    let mut kinds: Vec<u8> = kept().iter().filter_map(|bytes| bytes.get(11).copied()).collect();
+    let mut kinds: Vec<u8> = read_corpus().iter().filter_map(|bytes| bytes.get(11).copied()).collect();
     kinds.sort_unstable();
     kinds.dedup();
     assert!(kinds.len() >= 5, "votes, answers, questions, grants, promises: {kinds:?}");
@@ -74,7 +74,7 @@
 
 #[test]
 fn no_message_brings_a_sidecar_down_or_has_it_hold_more_than_the_whole() {
-    let from = kept();
+    let from = read_corpus();
     let mut rng = fastrand::Rng::with_seed(7);
     let (mut sidecars, _, mut now) = share(10);
     // A divider, and a holder.
--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -97,7 +97,7 @@
             return;
         }
         if let Some(voter) = voter {
-            let last_known = status.last_vote.max(status.position.founding);
+            let last_known = status.last_vote.max(status.position.bootstrap_id);
             self.voters.insert(voter, VoterStatus { start: from.start, last_known });
         }
         if status.position.beyond(self.newest.position) {
@@ -109,7 +109,7 @@
     /// Handles a voter's vote.
     pub fn handle_vote(&mut self, voter: usize, start: u64, vote: &BootstrapVote) {
         if let Stage::Vote(voters) = &self.stage
-            && voters.epoch.founding == vote.bootstrap
+            && voters.epoch.bootstrap_id == vote.bootstrap
             && voters.starts.get(voter) == Some(&start)
         {
             let votes = if vote.granted { &mut self.granted } else { &mut self.refused };
@@ -141,7 +141,7 @@
                 if self.granted.len() >= config.majority() {
                     return Step::Done(voters.clone());
                 }
-                let lost = self.refused.len() > config.keepers.len() - config.majority();
+                let lost = self.refused.len() > config.voters.len() - config.majority();
                 if lost || now >= self.stage_began + VOTE_TIMEOUT {
                     return Step::Failed(ConsensusError::Contested);
                 }
@@ -154,7 +154,7 @@
     fn finish_gathering(&mut self, config: &Config, now: Time) -> Step {
         let reached = self.voters.len();
         if reached < config.majority() {
-            return Step::Failed(ConsensusError::NoMajority { reached, of: config.keepers.len() });
+            return Step::Failed(ConsensusError::NoMajority { reached, of: config.voters.len() });
         }
         if let Some(leader) = self.leader {
             return Step::Failed(ConsensusError::HasLeader(usize::from(leader)));
@@ -166,12 +166,12 @@
     /// The voters of the first epoch after this bootstrap, whose number is higher than all that are known.
     fn new_voters(&self, config: &Config, own: Position) -> VoterSet {
         let known = self.voters.values().map(|voter| voter.last_known).max().unwrap_or(0);
-        let times = (known.max(own.founding) >> BOOTSTRAP_RANDOM_BITS) + 1;
+        let times = (known.max(own.bootstrap_id) >> BOOTSTRAP_RANDOM_BITS) + 1;
         let random_bits = self.nonce & ((1 << BOOTSTRAP_RANDOM_BITS) - 1);
-        let founding = times << BOOTSTRAP_RANDOM_BITS | random_bits;
+        let bootstrap_id = times << BOOTSTRAP_RANDOM_BITS | random_bits;
         let start = |voter| self.voters.get(&voter).map_or(0, |status| status.start);
-        let starts = (0..config.keepers.len()).map(start).collect();
-        VoterSet { epoch: Epoch { founding, number: 0 }, starts }
+        let starts = (0..config.voters.len()).map(start).collect();
+        VoterSet { epoch: Epoch { bootstrap_id, number: 0 }, starts }
     }
 
     fn enter(&mut self, now: Time, stage: Stage) {
--- a/crates/consensus/src/chain.rs
+++ b/crates/consensus/src/chain.rs
@@ -8,8 +8,8 @@
 /// An epoch. Those of a later bootstrap are later, whatever their number.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch {
-    /// The bootstrap's number: how often the log was bootstrapped ([`Epoch::times`]), and random bits. 0: never.
-    pub founding: u64,
+    /// The bootstrap's number: how often the log was bootstrapped ([`Epoch::bootstrap_count`]), and random bits. 0: never.
+    pub bootstrap_id: u64,
     /// The number of epochs since then.
     pub number: u32,
 }
@@ -20,8 +20,8 @@
 
 impl Epoch {
     /// How often the log was bootstrapped.
-    pub fn times(self) -> u64 {
-        self.founding >> BOOTSTRAP_RANDOM_BITS
+    pub fn bootstrap_count(self) -> u64 {
+        self.bootstrap_id >> BOOTSTRAP_RANDOM_BITS
     }
 }
 
@@ -68,7 +68,7 @@
 impl Position {
     /// Whether it is further on than another position.
     pub fn beyond(self, other: Position) -> bool {
-        (self.founding, self.index) > (other.founding, other.index)
+        (self.bootstrap_id, self.index) > (other.bootstrap_id, other.index)
     }
 }
 
@@ -76,7 +76,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Position {
     /// The bootstrap that the log's current history began with.
-    pub founding: u64,
+    pub bootstrap_id: u64,
     /// The index; entries count from 1.
     pub index: u64,
     /// The checksum of all entries up to it.
@@ -131,7 +131,7 @@
         let index = self.last.index + 1;
         let sum = entry.sum(self.last.sum, index);
         if let Entry::Voters(voters) = &entry {
-            self.last.founding = voters.epoch.founding;
+            self.last.bootstrap_id = voters.epoch.bootstrap_id;
         }
         self.last.index = index;
         self.last.sum = sum;
--- a/crates/consensus/src/chain/tests.rs
+++ b/crates/consensus/src/chain/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn encoding_and_checksums_of_entries_are_unchanged() {
-    let voters = VoterSet { epoch: Epoch { founding: 1 << 20, number: 3 }, starts: vec![300, 0, 301] };
+    let voters = VoterSet { epoch: Epoch { bootstrap_id: 1 << 20, number: 3 }, starts: vec![300, 0, 301] };
     let entries = [Entry::Voters(voters), Entry::Command(vec![1, 2, 3])];
     let mut chain = Chain::default();
     let mut seen = Vec::new();
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -11,20 +11,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Features {
     /// A voter that lost its memory has no vote until it is admitted again.
-    pub starts: bool,
+    pub readmission: bool,
     /// Only decided entries are applied.
-    pub decided: bool,
+    pub decided_only: bool,
     /// Entries are accepted only if the entry before them is the same.
-    pub chained: bool,
+    pub verify_checksums: bool,
     /// A voter votes for one bootstrap at a time.
-    pub one_voice: bool,
+    pub single_vote: bool,
     /// A replica never goes back to an older position.
-    pub no_way_back: bool,
+    pub monotonic_position: bool,
 }
 
 impl Default for Features {
     fn default() -> Features {
-        Features { starts: true, decided: true, chained: true, one_voice: true, no_way_back: true }
+        Features {
+            readmission: true,
+            decided_only: true,
+            verify_checksums: true,
+            single_vote: true,
+            monotonic_position: true,
+        }
     }
 }
 
@@ -36,39 +42,39 @@
     /// The local member's address, as others reach it.
     pub address: SocketAddrV4,
     /// The voters: three, five or seven addresses.
-    pub keepers: Vec<SocketAddrV4>,
+    pub voters: Vec<SocketAddrV4>,
     /// The interval of the agreement's logical clock.
-    pub tick: Duration,
+    pub tick_interval: Duration,
     /// The interval at which it tells another member its position.
-    pub gossip: Duration,
+    pub gossip_interval: Duration,
     /// An epoch ends after this many commands.
-    pub epoch: usize,
+    pub max_epoch_entries: usize,
     /// Which parts of the protocol are on.
-    pub parts: Features,
+    pub features: Features,
 }
 
 impl Config {
     /// A configuration with default times.
-    pub fn new(fleet: &str, address: SocketAddrV4, keepers: Vec<SocketAddrV4>) -> Config {
-        let named = keepers.iter().fold(fleet.to_owned(), |all, keeper| format!("{all}|{keeper}"));
+    pub fn new(fleet: &str, address: SocketAddrV4, voters: Vec<SocketAddrV4>) -> Config {
+        let named = voters.iter().fold(fleet.to_owned(), |all, voter| format!("{all}|{voter}"));
         Config {
             digest: xxh3_64(named.as_bytes()),
             address,
-            keepers,
-            tick: Duration::from_millis(40),
-            gossip: Duration::from_millis(500),
-            epoch: 256,
-            parts: Features::default(),
+            voters,
+            tick_interval: Duration::from_millis(40),
+            gossip_interval: Duration::from_millis(500),
+            max_epoch_entries: 256,
+            features: Features::default(),
         }
     }
 
     /// Checks the configuration; an error names the field and the reason.
     pub fn check(&self) -> Result<(), (&'static str, String)> {
-        let n = self.keepers.len();
+        let n = self.voters.len();
         if ![3, 5, 7].contains(&n) {
             return Err(("keepers", format!("must be 3, 5 or 7 addresses, not {n}")));
         }
-        let mut sorted = self.keepers.clone();
+        let mut sorted = self.voters.clone();
         sorted.sort_unstable();
         sorted.dedup();
         if sorted.len() != n {
@@ -78,12 +84,12 @@
     }
 
     /// The local member's index among the voters, if it is one.
-    pub fn place(&self) -> Option<usize> {
-        self.keepers.iter().position(|keeper| *keeper == self.address)
+    pub fn voter_index(&self) -> Option<usize> {
+        self.voters.iter().position(|voter| *voter == self.address)
     }
 
     /// The number of voters that make a majority.
     pub fn majority(&self) -> usize {
-        self.keepers.len() / 2 + 1
+        self.voters.len() / 2 + 1
     }
 }
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -8,7 +8,7 @@
 pub enum ConsensusError {
     /// The log was never bootstrapped, as far as is known.
     #[error("this fleet's plan was never founded, or every copy of it is lost")]
-    NotFounded,
+    NotBootstrapped,
     /// It is not known whether the command was agreed on.
     #[error("no answer within {0:?}: the word may have been taken or not")]
     Unknown(Duration),
@@ -33,40 +33,40 @@
     CopyNotReached(u64),
     /// A bootstrap of the local member is still running.
     #[error("a founding is under way at this door")]
-    Founding,
+    BootstrapInProgress,
     /// The command is too long.
-    #[error("the word has {length} bytes, {most} at most")]
+    #[error("the word has {length} bytes, {max} at most")]
     TooLong {
         /// Its length in bytes.
         length: usize,
         /// The longest allowed, in bytes.
-        most: usize,
+        max: usize,
     },
     /// Too many proposals wait for agreement.
     #[error("{0} words of this door are not answered yet")]
-    Crowded(usize),
+    TooManyProposals(usize),
 }
 
 impl ConsensusError {
     /// The code, which never changes.
     pub fn code(&self) -> &'static str {
         match self {
-            ConsensusError::NotFounded => "log.not-founded",
+            ConsensusError::NotBootstrapped => "log.not-founded",
             ConsensusError::Unknown(_) => "log.unknown",
             ConsensusError::NoMajority { .. } => "log.no-majority",
             ConsensusError::HasLeader(_) => "log.has-leader",
             ConsensusError::Contested => "log.contested",
             ConsensusError::CopyNotReached(_) => "log.copy-not-reached",
-            ConsensusError::Founding => "log.founding",
+            ConsensusError::BootstrapInProgress => "log.founding",
             ConsensusError::TooLong { .. } => "log.too-long",
-            ConsensusError::Crowded(_) => "log.crowded",
+            ConsensusError::TooManyProposals(_) => "log.crowded",
         }
     }
 
     /// What the operator can do.
     pub fn remedy(&self) -> &'static str {
         match self {
-            ConsensusError::NotFounded => {
+            ConsensusError::NotBootstrapped => {
                 "if the fleet is new, or all keepers were lost at once: PUT /ops/plan/refound at one door"
             }
             ConsensusError::Unknown(_) => {
@@ -82,26 +82,26 @@
             ConsensusError::CopyNotReached(_) => {
                 "mend the way to the sidecars that hold the newest copy, or found again with them stopped, which gives up what they hold alone"
             }
-            ConsensusError::Founding => "wait for its answer",
+            ConsensusError::BootstrapInProgress => "wait for its answer",
             ConsensusError::TooLong { .. } => {
                 "shorten the revision: selectors by zone or group in place of names"
             }
-            ConsensusError::Crowded(_) => "wait until they are answered",
+            ConsensusError::TooManyProposals(_) => "wait until they are answered",
         }
     }
 
     /// One error of each kind, to list the codes.
     pub fn all() -> Vec<ConsensusError> {
         vec![
-            ConsensusError::NotFounded,
+            ConsensusError::NotBootstrapped,
             ConsensusError::Unknown(Duration::from_secs(5)),
             ConsensusError::NoMajority { reached: 1, of: 3 },
             ConsensusError::HasLeader(0),
             ConsensusError::Contested,
             ConsensusError::CopyNotReached(7),
-            ConsensusError::Founding,
-            ConsensusError::TooLong { length: 2, most: 1 },
-            ConsensusError::Crowded(16),
+            ConsensusError::BootstrapInProgress,
+            ConsensusError::TooLong { length: 2, max: 1 },
+            ConsensusError::TooManyProposals(16),
         ]
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -20,11 +20,5 @@
 pub use crate::config::{Config, Features, Time};
 pub use crate::error::ConsensusError;
 pub use crate::log::{Counters, Log, Peer, StateMachine, Status};
-pub use crate::message::{MAX_COMMAND, MAX_MESSAGE, is_ours};
+pub use crate::message::{MAX_COMMAND, MAX_MESSAGE, is_consensus_message};
 pub use crate::storage::{EncodedEntry, EpochStorage};
-
-// Old names, until their users are renamed.
-pub use crate::chain::Position as Place;
-pub use crate::config::Features as Parts;
-pub use crate::log::StateMachine as Machine;
-pub use crate::message::MAX_COMMAND as MAX_WORD;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -85,7 +85,7 @@
     /// An empty replica. `start` must be higher than that of every earlier process at this address.
     pub fn new(config: Config, now: Time, start: u64, seed: u64) -> Log<M> {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let next_gossip = now + config.gossip.mul_f64(rng.f64());
+        let next_gossip = now + config.gossip_interval.mul_f64(rng.f64());
         Log {
             start: start.max(1),
             machine: M::fresh(),
@@ -104,7 +104,7 @@
             peers: Vec::new(),
             proposals: Vec::new(),
             last_request: Time::ZERO,
-            next_tick: now + config.tick,
+            next_tick: now + config.tick_interval,
             next_gossip,
             rng,
             outgoing: VecDeque::new(),
@@ -119,13 +119,6 @@
         self.peers = peers;
     }
 
-    // Old name, until its users are renamed.
-    #[allow(missing_docs)]
-    pub fn meet(&mut self, peers: Vec<(SocketAddrV4, bool)>) {
-        let peers = peers.into_iter();
-        self.set_peers(peers.map(|(address, near)| Peer { address, near }).collect());
-    }
-
     /// The next message to send: the receiver and the bytes.
     pub fn output(&mut self) -> Option<(SocketAddrV4, Vec<u8>)> {
         self.outgoing.pop_front()
@@ -141,7 +134,7 @@
     /// Carries out what is due.
     pub fn tick(&mut self, now: Time) {
         if now >= self.next_tick {
-            self.next_tick = now + self.config.tick;
+            self.next_tick = now + self.config.tick_interval;
             if let Some(voter) = &mut self.voter {
                 voter.tick(now);
             }
@@ -152,7 +145,7 @@
             self.apply_agreed(now);
         }
         if now >= self.next_gossip {
-            self.next_gossip = now + self.config.gossip.mul_f64(0.75 + 0.5 * self.rng.f64());
+            self.next_gossip = now + self.config.gossip_interval.mul_f64(0.75 + 0.5 * self.rng.f64());
             self.gossip_position();
         }
         self.check_invariants();
@@ -178,15 +171,15 @@
     /// Checks what must hold after each step.
     fn check_invariants(&mut self) {
         let position = self.position();
-        let holds = position.founding == self.voters.epoch.founding
+        let holds = position.bootstrap_id == self.voters.epoch.bootstrap_id
             && self.voters_index <= position.index
             && self.proposals.len() <= proposals::MAX_PROPOSALS
             && self.voter.as_ref().is_none_or(|voter| voter.epoch <= self.voters.epoch);
-        self.counters.broken += u64::from(!holds);
+        self.counters.invariant_violations += u64::from(!holds);
         debug_assert!(
             holds,
             "bootstrap {} voters {:?} at {}",
-            position.founding, self.voters, self.voters_index
+            position.bootstrap_id, self.voters, self.voters_index
         );
     }
 }
--- a/crates/consensus/src/log/bootstrapping.rs
+++ b/crates/consensus/src/log/bootstrapping.rs
@@ -16,7 +16,7 @@
     /// Starts a bootstrap; [`Log::bootstrap_result`] returns its result.
     pub fn bootstrap(&mut self, now: Time) -> Result<(), ConsensusError> {
         if self.bootstrap.is_some() {
-            return Err(ConsensusError::Founding);
+            return Err(ConsensusError::BootstrapInProgress);
         }
         let position = self.position();
         self.bootstrap = Some(Bootstrap::new(now, self.rng.u64(1..), position, self.config.address));
@@ -30,18 +30,6 @@
         self.bootstrap_result.take()
     }
 
-    // Old name, until its users are renamed.
-    #[allow(missing_docs)]
-    pub fn found(&mut self, now: Time) -> Result<(), ConsensusError> {
-        self.bootstrap(now)
-    }
-
-    // Old name, until its users are renamed.
-    #[allow(missing_docs)]
-    pub fn founding(&mut self) -> Option<Result<Position, ConsensusError>> {
-        self.bootstrap_result()
-    }
-
     /// Carries out the next step of the bootstrap, if one is running.
     pub(super) fn continue_bootstrap(&mut self, now: Time) {
         let position = self.position();
@@ -55,7 +43,7 @@
             }
             Step::Fetch(holder) => self.send_position(holder, true),
             Step::RequestVotes(voters) => {
-                let receivers = self.config.keepers.clone();
+                let receivers = self.config.voters.clone();
                 self.send_all(now, receivers, &Body::BootstrapVoteRequest { nonce, voters });
             }
             Step::Done(voters) => {
@@ -73,7 +61,7 @@
     /// The addresses of all peers and voters.
     fn known_members(&self) -> Vec<SocketAddrV4> {
         let mut members: Vec<SocketAddrV4> = self.peers.iter().map(|peer| peer.address).collect();
-        members.extend(&self.config.keepers);
+        members.extend(&self.config.voters);
         members.sort_unstable();
         members.dedup();
         members
@@ -94,7 +82,7 @@
         nonce: u64,
         voters: &VoterSet,
     ) {
-        let bootstrap = voters.epoch.founding;
+        let bootstrap = voters.epoch.bootstrap_id;
         let granted = self.grant_vote(now, voters);
         let vote = BootstrapVote { nonce, bootstrap, granted };
         self.send_all(now, vec![from], &Body::BootstrapVote(vote));
@@ -102,17 +90,17 @@
 
     /// Grants at most one bootstrap a vote; from then on the local voter takes no part in the former history.
     fn grant_vote(&mut self, now: Time, voters: &VoterSet) -> bool {
-        let Some(index) = self.config.place() else { return false };
-        let bootstrap = voters.epoch.founding;
+        let Some(index) = self.config.voter_index() else { return false };
+        let bootstrap = voters.epoch.bootstrap_id;
         let times = |bootstrap: u64| bootstrap >> BOOTSTRAP_RANDOM_BITS;
-        let repeated = bootstrap == self.last_vote && self.position().founding < bootstrap;
-        let newer = times(bootstrap) > times(self.last_vote) || !self.config.parts.one_voice;
+        let repeated = bootstrap == self.last_vote && self.position().bootstrap_id < bootstrap;
+        let newer = times(bootstrap) > times(self.last_vote) || !self.config.features.single_vote;
         if voters.starts.get(index) != Some(&self.start) || !(repeated || newer) {
             return false;
         }
         // A bootstrap right after another, or beside voters that agree, would lose their commands.
         let held = self.voted_at.is_some_and(|at| now < at + VOTE_HOLD) || self.leader(now).is_some();
-        if !repeated && held && self.config.parts.one_voice {
+        if !repeated && held && self.config.features.single_vote {
             return false;
         }
         self.voted_at = Some(now);
--- a/crates/consensus/src/log/inbound.rs
+++ b/crates/consensus/src/log/inbound.rs
@@ -22,7 +22,7 @@
     /// Handles a decoded message.
     pub(super) fn handle(&mut self, now: Time, sender: Sender, body: Body) {
         let from = sender.address();
-        let voter = self.config.keepers.iter().position(|address| *address == from);
+        let voter = self.config.voters.iter().position(|address| *address == from);
         match body {
             Body::Agreement { epoch, count, message } => {
                 self.handle_agreement(now, sender, Numbered { epoch, count, message });
@@ -61,10 +61,10 @@
     /// Handles a message of the agreement. One of another epoch shows that either side lacks entries.
     fn handle_agreement(&mut self, now: Time, sender: Sender, numbered: Numbered) {
         let from = sender.address();
-        let Some(index) = self.config.keepers.iter().position(|address| *address == from) else { return };
+        let Some(index) = self.config.voters.iter().position(|address| *address == from) else { return };
         match &mut self.voter {
             Some(voter) if voter.epoch == numbered.epoch => {
-                if self.config.parts.starts && voter.starts[index] != sender.start {
+                if self.config.features.readmission && voter.starts[index] != sender.start {
                     return;
                 }
                 voter.receive(now, index, numbered.count, numbered.message);
--- a/crates/consensus/src/log/out_of_band.rs
+++ b/crates/consensus/src/log/out_of_band.rs
@@ -13,7 +13,7 @@
 impl<M: StateMachine> Log<M> {
     /// Sends data to all voters.
     pub fn send_out_of_band(&mut self, bytes: &[u8]) {
-        for voter in self.config.keepers.clone() {
+        for voter in self.config.voters.clone() {
             self.send(voter, &Body::OutOfBand(bytes.to_vec()));
         }
     }
@@ -23,18 +23,6 @@
         self.out_of_band.pop_front()
     }
 
-    // Old name, until its users are renamed.
-    #[allow(missing_docs)]
-    pub fn aside(&mut self, bytes: &[u8]) {
-        self.send_out_of_band(bytes);
-    }
-
-    // Old name, until its users are renamed.
-    #[allow(missing_docs)]
-    pub fn hear_aside(&mut self) -> Option<(SocketAddrV4, Vec<u8>)> {
-        self.take_out_of_band()
-    }
-
     /// Keeps a received message for the log's user.
     pub(super) fn handle_out_of_band(&mut self, from: SocketAddrV4, bytes: Vec<u8>) {
         if self.out_of_band.len() < MAX_WAITING {
--- a/crates/consensus/src/log/proposals.rs
+++ b/crates/consensus/src/log/proposals.rs
@@ -26,28 +26,22 @@
     /// Proposes a command, and repeats it until it is agreed on or `until` has passed.
     pub fn propose(&mut self, now: Time, command: Vec<u8>, until: Time) -> Result<(), ConsensusError> {
         if command.len() > MAX_COMMAND {
-            return Err(ConsensusError::TooLong { length: command.len(), most: MAX_COMMAND });
+            return Err(ConsensusError::TooLong { length: command.len(), max: MAX_COMMAND });
         }
         if self.proposals.len() >= MAX_PROPOSALS {
-            return Err(ConsensusError::Crowded(MAX_PROPOSALS));
+            return Err(ConsensusError::TooManyProposals(MAX_PROPOSALS));
         }
-        if self.position().founding == 0 {
-            return Err(ConsensusError::NotFounded);
+        if self.position().bootstrap_id == 0 {
+            return Err(ConsensusError::NotBootstrapped);
         }
         if !self.proposals.iter().any(|proposal| proposal.command == command) {
-            let turn = self.rng.usize(..self.config.keepers.len());
+            let turn = self.rng.usize(..self.config.voters.len());
             self.proposals.push(Proposal { command, next_attempt: now, expires: until, turn });
         }
         self.next_tick = now;
         Ok(())
     }
 
-    // Old name, until its users are renamed.
-    #[allow(missing_docs)]
-    pub fn say(&mut self, now: Time, word: Vec<u8>, until: Time) -> Result<(), ConsensusError> {
-        self.propose(now, word, until)
-    }
-
     /// Repeats the proposals that are due, and drops those that have expired. A voter that knows a leader proposes itself;
     /// otherwise voters are asked in turn.
     pub(super) fn repeat_proposals(&mut self, now: Time) {
@@ -58,7 +52,7 @@
             match self.voter.as_mut().filter(|voter| voter.leader(now).is_some()) {
                 Some(voter) => voter.propose(now, &proposal.command),
                 None => {
-                    let to = proposal.next_voter(&self.config.keepers, self.config.address);
+                    let to = proposal.next_voter(&self.config.voters, self.config.address);
                     outgoing.push((to, Body::Propose(proposal.command.clone())));
                 }
             }
--- a/crates/consensus/src/log/replication.rs
+++ b/crates/consensus/src/log/replication.rs
@@ -33,8 +33,8 @@
         if let Some(peer) = self.random_peer() {
             self.send_position(peer, true);
         }
-        let Some(own_index) = self.config.place().filter(|_| self.voter.is_none()) else { return };
-        for (index, voter) in self.config.keepers.clone().into_iter().enumerate() {
+        let Some(own_index) = self.config.voter_index().filter(|_| self.voter.is_none()) else { return };
+        for (index, voter) in self.config.voters.clone().into_iter().enumerate() {
             if index != own_index {
                 self.send_position(voter, false);
             }
@@ -55,7 +55,7 @@
         }
         let index = self.rng.usize(..self.peers.len().max(1));
         let known = self.peers.get(index).map(|peer| peer.address);
-        let peer = known.or_else(|| self.rng.choice(&self.config.keepers).copied());
+        let peer = known.or_else(|| self.rng.choice(&self.config.voters).copied());
         peer.filter(|address| *address != self.config.address)
     }
 
@@ -88,7 +88,7 @@
     /// Sends a member at `position` the next entries, or a snapshot if they are not kept or its history is another.
     fn send_entries_after(&mut self, to: SocketAddrV4, position: Position) {
         let same_history = self.chain.sum_at(position.index) == Some(position.sum)
-            && position.founding <= self.position().founding;
+            && position.bootstrap_id <= self.position().bootstrap_id;
         let entries =
             if same_history { self.chain.after(position.index, MAX_BATCH_SIZE) } else { Vec::new() };
         if entries.is_empty() {
@@ -102,7 +102,8 @@
     /// Handles entries. Where they do not follow the chain, there is a gap or another history; of that only a later bootstrap
     /// can be taken over, by its snapshot.
     pub(super) fn handle_entries(&mut self, now: Time, from: SocketAddrV4, batch: EntryBatch) {
-        let follows = self.chain.sum_at(batch.after) == Some(batch.sum) || !self.config.parts.chained;
+        let follows =
+            self.chain.sum_at(batch.after) == Some(batch.sum) || !self.config.features.verify_checksums;
         if batch.after > self.chain.last().index || !follows {
             self.request_entries_if_due(now, from);
             return;
@@ -116,8 +117,11 @@
                 self.request_entries_if_due(now, from);
             }
             Err(Conflict { index, between_bootstraps }) => {
-                self.counters.broken += u64::from(!between_bootstraps);
-                debug_assert!(between_bootstraps || !self.config.parts.decided, "two entries at {index}");
+                self.counters.invariant_violations += u64::from(!between_bootstraps);
+                debug_assert!(
+                    between_bootstraps || !self.config.features.decided_only,
+                    "two entries at {index}"
+                );
                 self.send_position(from, true);
             }
         }
@@ -152,7 +156,7 @@
     }
 
     fn enter_epoch(&mut self, voters: VoterSet, index: u64) -> bool {
-        let bootstrapped = voters.epoch.founding > self.voters.epoch.founding;
+        let bootstrapped = voters.epoch.bootstrap_id > self.voters.epoch.bootstrap_id;
         self.voters = voters;
         self.voters_index = index;
         self.counters.epochs += 1;
--- a/crates/consensus/src/log/snapshots.rs
+++ b/crates/consensus/src/log/snapshots.rs
@@ -105,7 +105,7 @@
 
     /// Handles a chunk: requests the next one, or installs the snapshot.
     pub(super) fn handle_snapshot_chunk(&mut self, now: Time, from: SocketAddrV4, chunk: SnapshotChunk) {
-        let outdated = !chunk.position.beyond(self.position()) && self.config.parts.no_way_back;
+        let outdated = !chunk.position.beyond(self.position()) && self.config.features.monotonic_position;
         if outdated || chunk.total as usize > MAX_SNAPSHOT_SIZE || chunk.bytes.is_empty() {
             return;
         }
@@ -140,7 +140,7 @@
         let content = transfer.decode();
         let restored = content.and_then(|content| Some((M::restore(&content.state)?, content)));
         let Some((machine, content)) = restored else {
-            self.counters.spoilt += 1;
+            self.counters.invalid_snapshots += 1;
             return;
         };
         let SnapshotTransfer { position, digest, received, .. } = transfer;
--- a/crates/consensus/src/log/snapshots/tests.rs
+++ b/crates/consensus/src/log/snapshots/tests.rs
@@ -25,7 +25,7 @@
     let address = |port| SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
     let config = Config::new("f", address(7001), (7001..=7003).map(address).collect());
     let mut log: Log<Fixed> = Log::new(config, Time::ZERO, 300, 1);
-    log.voters = VoterSet { epoch: Epoch { founding: 1 << 20, number: 3 }, starts: vec![300, 0, 301] };
+    log.voters = VoterSet { epoch: Epoch { bootstrap_id: 1 << 20, number: 3 }, starts: vec![300, 0, 301] };
     log.voters_index = 130;
     log.take_snapshot();
     let snapshot = log.snapshot.expect("a snapshot");
--- a/crates/consensus/src/log/state_machine.rs
+++ b/crates/consensus/src/log/state_machine.rs
@@ -5,7 +5,7 @@
     /// The state before the first command.
     fn fresh() -> Self;
     /// Applies the command at an index. It must accept any bytes, with the same effect on all replicas.
-    fn apply(&mut self, index: u64, word: &[u8]);
+    fn apply(&mut self, index: u64, command: &[u8]);
     /// The encoded state; equal states have equal bytes.
     fn snapshot(&self) -> Vec<u8>;
     /// Decodes a state; `None` if the bytes are no valid one.
--- a/crates/consensus/src/log/status.rs
+++ b/crates/consensus/src/log/status.rs
@@ -14,11 +14,13 @@
     /// Messages of another fleet or other voters.
     pub foreign: u64,
     /// Broken invariants, such as two entries at one index.
-    pub broken: u64,
+    #[serde(rename = "broken")]
+    pub invariant_violations: u64,
     /// Snapshots installed.
     pub snapshots: u64,
     /// Snapshots received whole that did not match their digest or could not be decoded.
-    pub spoilt: u64,
+    #[serde(rename = "spoilt")]
+    pub invalid_snapshots: u64,
     /// Epochs begun.
     pub epochs: u64,
 }
@@ -27,7 +29,8 @@
 #[derive(Debug, Clone, Serialize)]
 pub struct Status {
     /// How often the log was bootstrapped; 0: never.
-    pub founded: u64,
+    #[serde(rename = "founded")]
+    pub bootstrap_count: u64,
     /// The epoch since the last bootstrap.
     pub epoch: u32,
     /// The index of the last entry.
@@ -37,13 +40,17 @@
     /// The leader, if this member is a voter and knows one.
     pub leader: Option<SocketAddrV4>,
     /// The configured voters, and whether each may vote in this epoch.
-    pub keepers: Vec<(SocketAddrV4, bool)>,
+    #[serde(rename = "keepers")]
+    pub voters: Vec<(SocketAddrV4, bool)>,
     /// Whether the local member votes in this epoch.
-    pub seated: bool,
+    #[serde(rename = "seated")]
+    pub is_voting: bool,
     /// The number of proposals of the local member that wait for agreement.
-    pub waiting: usize,
+    #[serde(rename = "waiting")]
+    pub pending_proposals: usize,
     /// Event counters.
-    pub counted: Counters,
+    #[serde(rename = "counted")]
+    pub counters: Counters,
 }
 
 impl<M: StateMachine> Log<M> {
@@ -57,12 +64,6 @@
         self.chain.last()
     }
 
-    // Old name, until its users are renamed.
-    #[allow(missing_docs)]
-    pub fn place(&self) -> Position {
-        self.position()
-    }
-
     /// The configuration.
     pub fn config(&self) -> &Config {
         &self.config
@@ -86,17 +87,17 @@
     /// The replica's state, for operators.
     pub fn status(&self, now: Time) -> Status {
         let may_vote = |index: usize| self.voters.starts.get(index).is_some_and(|start| *start != 0);
-        let keepers = self.config.keepers.iter().enumerate();
+        let voters = self.config.voters.iter().enumerate();
         Status {
-            founded: self.voters.epoch.times(),
+            bootstrap_count: self.voters.epoch.bootstrap_count(),
             epoch: self.voters.epoch.number,
             index: self.position().index,
             sum: format!("{:016x}", self.position().sum),
-            leader: self.leader(now).map(|index| self.config.keepers[index]),
-            keepers: keepers.map(|(index, address)| (*address, may_vote(index))).collect(),
-            seated: self.voter.is_some(),
-            waiting: self.proposals.len(),
-            counted: self.counters,
+            leader: self.leader(now).map(|index| self.config.voters[index]),
+            voters: voters.map(|(index, address)| (*address, may_vote(index))).collect(),
+            is_voting: self.voter.is_some(),
+            pending_proposals: self.proposals.len(),
+            counters: self.counters,
         }
     }
 }
--- a/crates/consensus/src/log/voting.rs
+++ b/crates/consensus/src/log/voting.rs
@@ -39,12 +39,12 @@
         });
         let ready = self.applicants.iter().find(|(_, applicant)| {
             let position = applicant.position;
-            position.founding == own.founding && position.index + APPLICANT_MAX_LAG >= own.index
+            position.bootstrap_id == own.bootstrap_id && position.index + APPLICANT_MAX_LAG >= own.index
         });
         let mut starts = voter.starts.clone();
         if let Some((index, applicant)) = ready {
             starts[*index] = applicant.start;
-        } else if voter.length() < self.config.epoch {
+        } else if voter.length() < self.config.max_epoch_entries {
             return;
         }
         self.next_epoch_change = now + EPOCH_CHANGE_INTERVAL;
@@ -54,10 +54,10 @@
     /// Applies what the voters have agreed on, and sends the agreement's messages.
     pub(super) fn apply_agreed(&mut self, now: Time) {
         let Some(voter) = &mut self.voter else { return };
-        let agreed = voter.take_agreed(self.config.parts.decided);
+        let agreed = voter.take_agreed(self.config.features.decided_only);
         let (epoch, outgoing) = (voter.epoch, voter.take_outgoing());
         for outgoing in outgoing {
-            let to = self.config.keepers[outgoing.to];
+            let to = self.config.voters[outgoing.to];
             let (count, message) = (outgoing.count, outgoing.message);
             self.send(to, &Body::Agreement { epoch, count, message });
         }
@@ -68,8 +68,8 @@
             } else if index <= last {
                 // It was learned from other members before.
                 let same = self.chain.entry(index).is_none_or(|known| *known == indexed.entry);
-                self.counters.broken += u64::from(!same);
-                debug_assert!(same || !self.config.parts.decided, "two entries at {index}");
+                self.counters.invariant_violations += u64::from(!same);
+                debug_assert!(same || !self.config.features.decided_only, "two entries at {index}");
             }
         }
     }
@@ -77,10 +77,10 @@
     /// Starts or stops the local voter as the current voter set demands. A process that has lost the promises of an earlier
     /// one must not vote in its place.
     pub(super) fn update_voter(&mut self, now: Time) {
-        self.last_vote = self.last_vote.max(self.voters.epoch.founding);
-        let Some(index) = self.config.place() else { return };
+        self.last_vote = self.last_vote.max(self.voters.epoch.bootstrap_id);
+        let Some(index) = self.config.voter_index() else { return };
         let admitted = self.voters.starts.get(index).copied().unwrap_or(0);
-        let is_own = admitted == self.start || admitted != 0 && !self.config.parts.starts;
+        let is_own = admitted == self.start || admitted != 0 && !self.config.features.readmission;
         if admitted > self.start {
             // The wall clock was set back between two starts; this process is the later one all the same.
             self.start = admitted + 1;
@@ -89,7 +89,7 @@
         if self.voter.as_ref().is_some_and(|voter| voter.epoch != epoch || !is_own) {
             self.voter = None;
         }
-        if self.voter.is_none() && is_own && self.last_vote == epoch.founding {
+        if self.voter.is_none() && is_own && self.last_vote == epoch.bootstrap_id {
             self.voter = Voter::new(&self.config, index, &self.voters, self.voters_index, now);
             self.next_tick = now;
         }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -127,7 +127,7 @@
 }
 
 /// Whether a message is one of this protocol.
-pub fn is_ours(bytes: &[u8]) -> bool {
+pub fn is_consensus_message(bytes: &[u8]) -> bool {
     bytes.starts_with(b"cl")
 }
 
@@ -146,7 +146,8 @@
 
 /// Reads a message.
 pub(crate) fn decode(digest: u64, bytes: &[u8]) -> Result<(Sender, Body), DecodeError> {
-    if bytes.len() < HEADER_SIZE + CHECKSUM_SIZE || bytes.len() > MAX_MESSAGE || !is_ours(bytes) {
+    if bytes.len() < HEADER_SIZE + CHECKSUM_SIZE || bytes.len() > MAX_MESSAGE || !is_consensus_message(bytes)
+    {
         return Err(DecodeError::Garbled);
     }
     let (covered, tail) = bytes.split_at(bytes.len() - CHECKSUM_SIZE);
--- a/crates/consensus/src/message/tests.rs
+++ b/crates/consensus/src/message/tests.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn wire_format_of_the_agreement_is_unchanged() {
-    let epoch = Epoch { founding: 1 << 20, number: 3 };
+    let epoch = Epoch { bootstrap_id: 1 << 20, number: 3 };
     let forwarded = PaxosMsg::ProposalForward(vec![EncodedEntry(vec![1, 2, 3])]);
     let forwarded = Agreement::SequencePaxos(PaxosMessage { from: 1, to: 2, msg: forwarded });
     let heartbeat = HeartbeatMsg::Request(HeartbeatRequest { round: 7 });
@@ -47,8 +47,8 @@
 
 #[test]
 fn wire_format_of_replication_is_unchanged() {
-    let voters = VoterSet { epoch: Epoch { founding: 1 << 20, number: 3 }, starts: vec![300, 0, 301] };
-    let position = Position { founding: 1 << 20, index: 130, sum: 9 };
+    let voters = VoterSet { epoch: Epoch { bootstrap_id: 1 << 20, number: 3 }, starts: vec![300, 0, 301] };
+    let position = Position { bootstrap_id: 1 << 20, index: 130, sum: 9 };
     let entries = vec![Entry::Command(vec![1, 2, 3]), Entry::Voters(voters)];
     let bytes = vec![4, 5, 6];
     let chunk = SnapshotChunk { position, digest: 8, total: 200, offset: 7, bytes };
@@ -76,8 +76,8 @@
 
 #[test]
 fn wire_format_of_bootstraps_is_unchanged() {
-    let voters = VoterSet { epoch: Epoch { founding: 1 << 20, number: 0 }, starts: vec![300, 0, 301] };
-    let position = Position { founding: 1 << 20, index: 130, sum: 9 };
+    let voters = VoterSet { epoch: Epoch { bootstrap_id: 1 << 20, number: 0 }, starts: vec![300, 0, 301] };
+    let position = Position { bootstrap_id: 1 << 20, index: 130, sum: 9 };
     let status = BootstrapStatus { nonce: 6, position, leader: Some(2), last_vote: 1 << 20 };
     let vote = BootstrapVote { nonce: 6, bootstrap: 1 << 20, granted: true };
     assert_eq!(
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -135,7 +135,7 @@
             last_received,
             sent: vec![[0; CHANNELS]; voters],
             received: vec![Default::default(); voters],
-            unreachable_after: config.tick * UNREACHABLE_TICKS,
+            unreachable_after: config.tick_interval * UNREACHABLE_TICKS,
             last_led: now,
             proposed: VecDeque::new(),
             ended: false,
--- a/crates/consensus/tests/evening.rs
+++ b/crates/consensus/tests/evening.rs
@@ -1,7 +1,7 @@
 //! Random evenings: keepers and learners on one clock, words at random doors, faults that overlap, memory that is lost.
 //! One order, no acknowledged word lost, no way back; and planted defects are found.
 
-use cometcroft_consensus::{Config, Log, Machine, Parts, Place};
+use cometcroft_consensus::{Config, Features, Log, Peer, Position, StateMachine};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Words(Vec<u16>);
 
-impl Machine for Words {
+impl StateMachine for Words {
     fn fresh() -> Words {
         Words::default()
     }
@@ -36,7 +36,7 @@
 struct World {
     logs: Vec<Log<Words>>,
     keepers: usize,
-    parts: Parts,
+    parts: Features,
     air: Vec<(u64, usize, usize, Vec<u8>)>,
     cut: Vec<(usize, usize)>,
     paused: Vec<u64>,
@@ -47,14 +47,14 @@
     /// What was at each place of the log, by founding and index.
     order: BTreeMap<(u64, u64), u64>,
     /// The furthest that each process was.
-    furthest: Vec<Place>,
+    furthest: Vec<Position>,
     acknowledged: Vec<u16>,
     epoch: usize,
     broken: Vec<String>,
 }
 
 impl World {
-    fn new(keepers: usize, learners: usize, seed: u64, parts: Parts) -> World {
+    fn new(keepers: usize, learners: usize, seed: u64, parts: Features) -> World {
         let mut world = World {
             logs: Vec::new(),
             keepers,
@@ -67,7 +67,7 @@
             step: 0,
             rng: fastrand::Rng::with_seed(seed),
             order: BTreeMap::new(),
-            furthest: vec![Place::default(); keepers + learners],
+            furthest: vec![Position::default(); keepers + learners],
             acknowledged: Vec::new(),
             epoch: 40,
             broken: Vec::new(),
@@ -85,11 +85,11 @@
 
     fn start(&mut self, i: usize) -> Log<Words> {
         let mut config = Config::new("f", at(i), (0..self.keepers).map(at).collect());
-        (config.parts, config.epoch) = (self.parts, self.epoch);
+        (config.features, config.max_epoch_entries) = (self.parts, self.epoch);
         let mut log = Log::new(config, self.now(), self.step + 1, self.rng.u64(..));
         let all = (0..self.paused.len()).filter(|peer| *peer != i);
-        log.meet(all.map(|peer| (at(peer), peer % 2 == i % 2)).collect());
-        self.furthest[i] = Place::default();
+        log.set_peers(all.map(|peer| Peer { address: at(peer), near: peer % 2 == i % 2 }).collect());
+        self.furthest[i] = Position::default();
         log
     }
 
@@ -138,8 +138,8 @@
             return;
         }
         for (i, log) in self.logs.iter().enumerate() {
-            let place = log.place();
-            let had = self.order.entry((place.founding, place.index)).or_insert(place.sum);
+            let place = log.position();
+            let had = self.order.entry((place.bootstrap_id, place.index)).or_insert(place.sum);
             if *had != place.sum {
                 self.broken.push(format!("one order: {i} at {place:?}, step {}", self.step));
             }
@@ -158,10 +158,10 @@
 
     fn found(&mut self, door: usize) -> Result<(), String> {
         let now = self.now();
-        self.logs[door].found(now).map_err(|error| error.to_string())?;
+        self.logs[door].bootstrap(now).map_err(|error| error.to_string())?;
         for _ in 0..500 {
             self.step();
-            if let Some(founded) = self.logs[door].founding() {
+            if let Some(founded) = self.logs[door].bootstrap_result() {
                 return founded.map(drop).map_err(|error| error.code().to_owned());
             }
         }
@@ -170,12 +170,12 @@
 
     fn say(&mut self, door: usize, word: u16) {
         let now = self.now();
-        let _ = self.logs[door].say(now, word.to_le_bytes().to_vec(), now + Duration::from_secs(8));
+        let _ = self.logs[door].propose(now, word.to_le_bytes().to_vec(), now + Duration::from_secs(8));
     }
 
     fn same_everywhere(&self) -> bool {
-        let first = self.logs[0].place();
-        self.logs.iter().all(|log| log.place() == first && log.machine() == self.logs[0].machine())
+        let first = self.logs[0].position();
+        self.logs.iter().all(|log| log.position() == first && log.machine() == self.logs[0].machine())
     }
 
     fn has_leader(&self) -> bool {
@@ -211,7 +211,7 @@
             // One keeper at a time loses its memory, once the one before is taken in.
             if self.step.is_multiple_of(160) && self.step > empty_until && self.rng.bool() {
                 let who = self.rng.usize(..self.keepers);
-                let seated = (0..self.keepers).all(|i| self.logs[i].status(self.now()).seated);
+                let seated = (0..self.keepers).all(|i| self.logs[i].status(self.now()).is_voting);
                 if seated {
                     self.restart(who);
                     empty_until = self.step + 100;
@@ -246,7 +246,7 @@
 fn random_evenings_keep_one_order_and_every_acknowledged_word() {
     let mut least = usize::MAX;
     for seed in 0..seeds() {
-        let mut world = World::new(if seed % 3 == 0 { 5 } else { 3 }, 4, seed, Parts::default());
+        let mut world = World::new(if seed % 3 == 0 { 5 } else { 3 }, 4, seed, Features::default());
         world.run(1);
         world.found(seed as usize % 7).expect("nothing is in the way");
         world.run(2);
@@ -265,21 +265,21 @@
     let status = |log: &Log<Words>| log.status(world.now());
     let told = |log| {
         let status = status(log);
-        (status.epoch, status.index, status.seated, status.leader)
+        (status.epoch, status.index, status.is_voting, status.leader)
     };
     world.logs.iter().map(told).collect()
 }
 
-fn places(world: &World) -> Vec<Place> {
-    world.logs.iter().map(Log::place).collect()
+fn places(world: &World) -> Vec<Position> {
+    world.logs.iter().map(Log::position).collect()
 }
 
 #[test]
 fn all_keepers_lost_are_founded_anew_by_a_word_alone_and_from_the_newest_copy() {
     for seed in 0..10 {
-        let mut world = World::new(3, 4, seed, Parts::default());
+        let mut world = World::new(3, 4, seed, Features::default());
         assert_eq!(
-            world.logs[0].say(Duration::ZERO, vec![1, 0], STEP * 9).map_err(|e| e.code()),
+            world.logs[0].propose(Duration::ZERO, vec![1, 0], STEP * 9).map_err(|e| e.code()),
             Err("log.not-founded")
         );
         world.found(0).expect("a new fleet");
@@ -296,7 +296,7 @@
         }
         world.run(5);
         assert!(!world.has_leader(), "seed {seed}: nobody begins anew by itself");
-        let old = world.logs[6].place();
+        let old = world.logs[6].position();
         world.found(0).expect("a keeper that is empty founds from what others hold");
         world.run(5);
         world.say(4, 500);
@@ -307,7 +307,9 @@
             world.broken,
             places(&world)
         );
-        assert!(world.logs[0].place().beyond(old) && world.logs[0].status(world.now()).founded == 2);
+        assert!(
+            world.logs[0].position().beyond(old) && world.logs[0].status(world.now()).bootstrap_count == 2
+        );
         assert_eq!(world.logs[1].machine().0[..70], before.0[..], "seed {seed}");
         assert_eq!(world.logs[1].machine().0[70..], [500]);
     }
@@ -315,28 +317,29 @@
 
 #[test]
 fn two_who_found_at_once_end_in_one_history() {
-    assert!((0..40).all(|seed| two_found(Parts::default(), seed) <= 1));
-    let both = (0..40).find(|&seed| two_found(Parts { one_voice: false, ..Parts::default() }, seed) == 2);
+    assert!((0..40).all(|seed| two_found(Features::default(), seed) <= 1));
+    let both =
+        (0..40).find(|&seed| two_found(Features { single_vote: false, ..Features::default() }, seed) == 2);
     println!("two voices for one founding: seed {both:?}");
     assert!(both.is_some(), "a keeper with two voices lets two found");
 }
 
 /// How many of two who found at once are told that they have.
-fn two_found(parts: Parts, seed: u64) -> usize {
+fn two_found(parts: Features, seed: u64) -> usize {
     let mut world = World::new(3, 3, seed, parts);
     (world.loss, world.late) = (0.1, 6);
     world.run(1);
     let now = world.now();
-    world.logs[3].found(now).expect("the first");
+    world.logs[3].bootstrap(now).expect("the first");
     for _ in 0..seed % 30 {
         world.step();
     }
     let now = world.now();
-    world.logs[4].found(now).expect("the second");
+    world.logs[4].bootstrap(now).expect("the second");
     world.run(6);
     let won: Vec<bool> = [3, 4]
         .iter()
-        .filter_map(|door| world.logs[*door].founding())
+        .filter_map(|door| world.logs[*door].bootstrap_result())
         .map(|founded| founded.is_ok())
         .collect();
     (world.loss, world.late) = (0.0, 1);
@@ -353,11 +356,11 @@
 }
 
 /// A planted defect.
-type Planted = (&'static str, fn(&mut Parts));
+type Planted = (&'static str, fn(&mut Features));
 
 /// Whether an evening with a planted defect shows it.
-fn shows(plant: fn(&mut Parts), seed: u64) -> bool {
-    let mut parts = Parts::default();
+fn shows(plant: fn(&mut Features), seed: u64) -> bool {
+    let mut parts = Features::default();
     plant(&mut parts);
     let played = std::panic::catch_unwind(|| {
         let mut world = World::new(3, 3, seed, parts);
@@ -383,7 +386,8 @@
             world.run(4);
         }
         world.evening(20);
-        !world.broken.is_empty() || world.logs.iter().any(|log| log.status(world.now()).counted.broken > 0)
+        !world.broken.is_empty()
+            || world.logs.iter().any(|log| log.status(world.now()).counters.invariant_violations > 0)
     });
     played.unwrap_or(true)
 }
@@ -391,8 +395,8 @@
 #[test]
 fn planted_defects_are_found() {
     let planted: [Planted; 2] = [
-        ("a keeper that votes after it forgot", |p| p.starts = false),
-        ("applies what is not decided", |p| p.decided = false),
+        ("a keeper that votes after it forgot", |p| p.readmission = false),
+        ("applies what is not decided", |p| p.decided_only = false),
     ];
     assert!(!(0..4).any(|seed| shows(|_| {}, seed)), "the sound protocol shows nothing");
     for (what, plant) in planted {
@@ -403,8 +407,8 @@
 }
 
 /// One that is cut off holds words that a founding does without; what it does when it is back.
-fn left_behind(plant: fn(&mut Parts), words: u16) -> Vec<String> {
-    let mut parts = Parts::default();
+fn left_behind(plant: fn(&mut Features), words: u16) -> Vec<String> {
+    let mut parts = Features::default();
     plant(&mut parts);
     let mut world = World::new(3, 4, 5, parts);
     world.run(1);
@@ -431,7 +435,7 @@
         world.say(3, 30 + word);
         world.run(1);
     }
-    assert!(world.logs[6].place().founding < world.logs[3].place().founding);
+    assert!(world.logs[6].position().bootstrap_id < world.logs[3].position().bootstrap_id);
     world.cut.clear();
     for word in 0..20 {
         world.say(3, 60 + word);
@@ -450,7 +454,7 @@
     let mut found = false;
     for words in 4..12 {
         assert_eq!(left_behind(|_| {}, words), Vec::<String>::new());
-        let unchained = std::panic::catch_unwind(|| left_behind(|p| p.chained = false, words));
+        let unchained = std::panic::catch_unwind(|| left_behind(|p| p.verify_checksums = false, words));
         found |= unchained.is_err() || unchained.is_ok_and(|broken| !broken.is_empty());
     }
     assert!(found, "entries that do not join are never taken");
--- a/crates/emulator/src/agree.rs
+++ b/crates/emulator/src/agree.rs
@@ -10,9 +10,13 @@
 use std::time::Duration;
 
 /// What a member that starts is given for the plan.
-pub fn parts(own: SocketAddrV4, keepers: Vec<SocketAddrV4>, log: cometcroft_consensus::Parts) -> AccordParts {
+pub fn parts(
+    own: SocketAddrV4,
+    keepers: Vec<SocketAddrV4>,
+    log: cometcroft_consensus::Features,
+) -> AccordParts {
     let mut config = Config::new("played", own, keepers);
-    config.parts = log;
+    config.features = log;
     AccordParts { config, wait: Duration::from_millis(300), divides: false, listener: Box::new(|_| ()) }
 }
 
@@ -52,12 +56,12 @@
 pub fn look<P: cometcroft_platform::Platform>(accord: &Accord<P>) -> PlanLook {
     let (in_force, leads) = (accord.stands(), accord.led());
     accord.ask(|log| {
-        let (place, plan) = (log.place(), log.machine());
+        let (place, plan) = (log.position(), log.machine());
         let permits = plan.permits().values();
         let clear = permits.clone().filter(|it| matches!(it.state, PermitState::Clear { .. }));
         let waved = plan.release().map(|_| plan.waved());
         PlanLook {
-            place: (place.founding, place.index),
+            place: (place.bootstrap_id, place.index),
             sum: format!("{:016x}", place.sum),
             in_force,
             halted: plan.halted().is_some(),
--- a/crates/emulator/src/cost.rs
+++ b/crates/emulator/src/cost.rs
@@ -52,7 +52,7 @@
     pub fn of_datagram(bytes: &[u8]) -> TrafficKind {
         if cometcroft_budget::is_ours(bytes) {
             TrafficKind::Budget
-        } else if cometcroft_consensus::is_ours(bytes) {
+        } else if cometcroft_consensus::is_consensus_message(bytes) {
             TrafficKind::PlanDatagram
         } else if bytes.starts_with(MEMBERSHIP_HEAD) {
             TrafficKind::MembershipDatagram
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -8,7 +8,7 @@
 use crate::net::{HostId, Links, Net};
 use crate::platform::Emulated;
 use crate::share::{self, Divide, Follow, LEVEL, RATE, ShareReport, Spent, Till};
-use cometcroft_membership::{Config, Name, Parts, State, Timing};
+use cometcroft_membership::{Config, Features, Name, State, Timing};
 use cometcroft_platform::Platform;
 use cometcroft_script::{
     Broken, BudgetPlan, Doing, Judge, Look, Other, Plan, PlanLook, Say, Wires, same_plans,
@@ -105,7 +105,7 @@
     seats: Vec<Seat>,
     wires: Wires,
     changes: Changes,
-    parts: Parts,
+    parts: Features,
     dice: Dice,
     deaths: Vec<(usize, Nanos, Vec<Option<Nanos>>)>,
     /// The places in `deaths` of each seat's.
@@ -118,7 +118,7 @@
     divide: Divide,
     budget_parts: cometcroft_budget::Parts,
     till: Rc<RefCell<Till>>,
-    log_parts: cometcroft_consensus::Parts,
+    log_parts: cometcroft_consensus::Features,
     answers: Answers,
     agreed: AgreedReport,
     agreed_since: Option<Nanos>,
@@ -175,7 +175,7 @@
 
 impl FleetRun {
     /// A fleet before its first step, with these parts of the protocol at work.
-    pub fn new(plan: Plan, parts: Parts) -> FleetRun {
+    pub fn new(plan: Plan, parts: Features) -> FleetRun {
         let ms = MS as f64;
         let links =
             Links { local: 0.02 * ms, same: 0.3 * ms, cross: 2.0 * ms, client: 1.0 * ms, jitter: 0.5 };
@@ -237,7 +237,7 @@
             divide: Divide::default(),
             budget_parts: cometcroft_budget::Parts::default(),
             till: Rc::default(),
-            log_parts: cometcroft_consensus::Parts::default(),
+            log_parts: cometcroft_consensus::Features::default(),
             answers: Answers::default(),
             agreed: AgreedReport::default(),
             agreed_since: None,
@@ -251,7 +251,7 @@
     }
 
     /// The same with a log that has a planted defect.
-    pub fn agreeing(mut self, parts: cometcroft_consensus::Parts) -> FleetRun {
+    pub fn agreeing(mut self, parts: cometcroft_consensus::Features) -> FleetRun {
         self.log_parts = parts;
         self
     }
@@ -484,7 +484,7 @@
                 self.kernel.spawn(*pid, async move {
                     let said = spoken.say;
                     let taken = agree::say(accord, spoken).await;
-                    let founding = door.ask(|log| log.place().founding);
+                    let founding = door.ask(|log| log.position().bootstrap_id);
                     answers.borrow_mut().push((said, founding, taken));
                 });
             }
@@ -515,7 +515,7 @@
         config.rank = i as u16;
         config.seeds = seeds;
         config.timing = Timing::from_pause(seat.other.longest_pause.unwrap_or(self.plan.longest_pause));
-        config.parts = self.parts;
+        config.features = self.parts;
         if i < self.plan.old {
             config.formats = (1, 1);
         }
@@ -545,7 +545,7 @@
         };
         let seed = Dice::new(self.plan.seed, &format!("{} {i} life {}", seat.name, seat.life)).bits();
         let (fleet, listener) = Fleet::new(platform.clone(), parts, self.plan.first as u32, seed);
-        self.judge.known(i, fleet.ask(|machine| machine.me().generation));
+        self.judge.known(i, fleet.ask(|machine| machine.local_record().generation));
         seat.origin = Some(platform.now());
         let running = fleet.clone();
         self.kernel.spawn(pid, running.run(listener));
@@ -586,7 +586,7 @@
         let now = self.kernel.now();
         let seat = &mut self.seats[i];
         if let Some((_, fleet)) = &seat.process {
-            let (traffic, _) = fleet.ask(|machine| machine.counted());
+            let (traffic, _) = fleet.ask(|machine| machine.counters());
             seat.sent.0 += traffic.sent;
             seat.sent.1 += traffic.sent_bytes;
             self.exchanged += traffic.exchange_bytes / 2;
@@ -612,12 +612,15 @@
         Some(fleet.ask(|machine| {
             let (reached, known) = machine.reach();
             Look {
-                generation: machine.me().generation,
-                who: machine.who().map(|(name, generation)| (name.to_string(), generation)).collect(),
+                generation: machine.local_record().generation,
+                who: machine
+                    .present_members()
+                    .map(|(name, generation)| (name.to_string(), generation))
+                    .collect(),
                 at_work,
                 reached,
                 known,
-                superseded: machine.superseded(),
+                superseded: machine.is_superseded(),
                 plan: fleet.accord().map(|accord| agree::look(accord)),
                 answered: None,
             }
@@ -626,10 +629,9 @@
 
     /// All who live hold the same view, and as many are in it as live.
     fn equal(&self) -> bool {
-        let mut views =
-            self.seats.iter().filter_map(|seat| seat.process.as_ref()).map(|(_, fleet)| {
-                fleet.ask(|machine| (machine.superseded(), machine.digest(), machine.size()))
-            });
+        let mut views = self.seats.iter().filter_map(|seat| seat.process.as_ref()).map(|(_, fleet)| {
+            fleet.ask(|machine| (machine.is_superseded(), machine.digest(), machine.present_count()))
+        });
         let speaking: Vec<(u64, usize)> =
             views.by_ref().filter(|(superseded, ..)| !superseded).map(|(_, d, n)| (d, n)).collect();
         speaking.iter().all(|view| view.0 == speaking[0].0 && view.1 == speaking.len())
@@ -640,7 +642,7 @@
         let changes = std::mem::take(&mut *self.changes.borrow_mut());
         let now = self.kernel.now();
         for (observer, name, generation, _, to) in changes {
-            let gone = to == State::Gone;
+            let gone = to == State::Dead;
             self.judge.changed(time(now), observer, name.as_str(), generation, gone);
             if to == State::Alive {
                 continue;
@@ -648,20 +650,20 @@
             let of_name = self.seats_of.get(&name).map_or(&[][..], Vec::as_slice);
             let seat = of_name.iter().copied().find(|&i| {
                 let of = |(_, fleet): &(Pid, Rc<Fleet<Sim>>)| {
-                    fleet.ask(|machine| machine.me().generation == generation)
+                    fleet.ask(|machine| machine.local_record().generation == generation)
                 };
                 self.seats[i].process.as_ref().is_some_and(of)
             });
             let dead = seat.is_some_and(|i| !self.deaths_of[i].is_empty());
             if let Some(seat) = seat.filter(|_| !dead)
-                && matches!(to, State::Suspect | State::Gone)
+                && matches!(to, State::Suspect | State::Dead)
                 && !self.plan.harmed(seat, time(now))
                 && !self.plan.harmed(observer, time(now))
             {
                 self.wronged.0 += u64::from(!gone);
                 self.wronged.1 += u64::from(gone);
             }
-            if matches!(to, State::Gone | State::Left) {
+            if matches!(to, State::Dead | State::Left) {
                 for &death in of_name.iter().flat_map(|&i| &self.deaths_of[i]) {
                     self.deaths[death].2[observer].get_or_insert(now);
                 }
--- a/crates/emulator/tests/budget.rs
+++ b/crates/emulator/tests/budget.rs
@@ -7,7 +7,7 @@
 use cometcroft_script::{Plan, Rule, Script};
 
 fn play(script: &Script, seed: u64, divide: Divide, parts: Parts) -> FleetReport {
-    let run = FleetRun::new(Plan::draw(script, seed, None), cometcroft_membership::Parts::default());
+    let run = FleetRun::new(Plan::draw(script, seed, None), cometcroft_membership::Features::default());
     run.divided(divide, parts).play(true)
 }
 
--- a/crates/emulator/tests/cost.rs
+++ b/crates/emulator/tests/cost.rs
@@ -6,12 +6,12 @@
 use cometcroft_emulator::fleet::{FleetReport, FleetRun};
 use cometcroft_emulator::kernel::SEC;
 use cometcroft_emulator::net::HostId;
-use cometcroft_membership::Parts;
+use cometcroft_membership::Features;
 use cometcroft_script::{Plan, Rule, Script};
 
 fn play(script: &str, members: usize) -> FleetReport {
     let script = Script::find(script).expect("a shipped script");
-    FleetRun::new(Plan::draw(&script, 1, Some(members)), Parts::default()).play(false)
+    FleetRun::new(Plan::draw(&script, 1, Some(members)), Features::default()).play(false)
 }
 
 fn cost(script: &str, members: usize) -> CostReport {
@@ -106,7 +106,7 @@
 fn limited(limits: &str) -> FleetReport {
     let text = format!("[fleet]\nname = \"limited\"\nlength = \"30s\"\n[limits]\n{limits}\n");
     let script = Script::parse(&text, "limited").expect("it reads");
-    FleetRun::new(Plan::draw(&script, 1, Some(6)), Parts::default()).play(false)
+    FleetRun::new(Plan::draw(&script, 1, Some(6)), Features::default()).play(false)
 }
 
 #[test]
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -1,11 +1,11 @@
 //! Membership on the virtual clock: every shipped script of faults, the same that real processes are put under.
 
 use cometcroft_emulator::fleet::{FleetReport, FleetRun};
-use cometcroft_membership::Parts;
+use cometcroft_membership::Features;
 use cometcroft_script::{Plan, Rule, SHIPPED, SIZED, Script};
 use cometcroft_tomlfile::Span;
 
-fn play(script: &str, seed: u64, members: Option<usize>, parts: Parts) -> FleetReport {
+fn play(script: &str, seed: u64, members: Option<usize>, parts: Features) -> FleetReport {
     let script = Script::find(script).expect("a shipped script");
     FleetRun::new(Plan::draw(&script, seed, members), parts).play(false)
 }
@@ -16,7 +16,7 @@
     for (name, _) in SHIPPED {
         for seed in 1..=4 {
             for members in [None, Some(12)] {
-                let report = play(name, seed, members, Parts::default());
+                let report = play(name, seed, members, Features::default());
                 let broken: Vec<String> = report.broken.iter().map(ToString::to_string).collect();
                 all.extend(broken.iter().map(|b| format!("{name} seed {seed} members {members:?}: {b}")));
             }
@@ -29,7 +29,7 @@
 fn no_script_for_any_size_breaks_a_rule() {
     for (name, _) in SIZED {
         for (seed, members) in [(1, None), (2, None), (1, Some(50))] {
-            let report = play(name, seed, members, Parts::default());
+            let report = play(name, seed, members, Features::default());
             assert!(report.broken.is_empty(), "{name} seed {seed} members {members:?}: {:#?}", report.broken);
             assert!(
                 report.equal_s.is_some(),
@@ -41,24 +41,24 @@
 }
 
 /// A planted defect, a script that shows it, and the rule that it breaks.
-type Planted = (&'static str, fn(&mut Parts), &'static str, Rule);
+type Planted = (&'static str, fn(&mut Features), &'static str, Rule);
 
 const PLANTED: &[Planted] = &[
     ("calls gone who is paused", |p| p.suspicion = false, "pauses", Rule::AliveCalledGone),
-    ("never denies that it is gone", |p| p.refutes = false, "third-paused", Rule::ViewsDiffer),
-    ("lets an old start win", |p| p.generations = false, "restarts", Rule::OldStartWins),
-    ("two of one name both speak", |p| p.generations = false, "twin", Rule::TwinSpeaks),
-    ("forgets the far side for ever", |p| p.tries_gone = false, "split", Rule::ViewsDiffer),
-    ("counts a falling fleet at once", |p| p.cautious = false, "third-paused", Rule::CountFell),
-    ("views that never become equal", |p| p.exchanges = false, "one-seed-up", Rule::ViewsDiffer),
-    ("takes a word for the verdict", |p| p.own_time = false, "mute", Rule::AliveCalledGone),
-    ("asks nobody to probe for it", |p| p.indirect = false, "one-pair", Rule::AliveCalledGone),
+    ("never denies that it is gone", |p| p.refutation = false, "third-paused", Rule::ViewsDiffer),
+    ("lets an old start win", |p| p.generation_order = false, "restarts", Rule::OldStartWins),
+    ("two of one name both speak", |p| p.generation_order = false, "twin", Rule::TwinSpeaks),
+    ("forgets the far side for ever", |p| p.reconnect = false, "split", Rule::ViewsDiffer),
+    ("counts a falling fleet at once", |p| p.delayed_decrease = false, "third-paused", Rule::CountFell),
+    ("views that never become equal", |p| p.anti_entropy = false, "one-seed-up", Rule::ViewsDiffer),
+    ("takes a word for the verdict", |p| p.local_suspicion = false, "mute", Rule::AliveCalledGone),
+    ("asks nobody to probe for it", |p| p.indirect_probes = false, "one-pair", Rule::AliveCalledGone),
 ];
 
 #[test]
 fn every_planted_defect_is_found_and_its_rule_named() {
     for (what, plant, script, rule) in PLANTED {
-        let mut parts = Parts::default();
+        let mut parts = Features::default();
         plant(&mut parts);
         let found = (1..=200).find(|&seed| {
             let report = play(script, seed, None, parts);
@@ -80,15 +80,15 @@
             report.broken.iter().any(|broken| broken.rule == Rule::AliveCalledGone)
         })
     };
-    assert_eq!(gone(Parts::default()), [false; 4]);
-    assert_eq!(gone(Parts { last_look: false, ..Parts::default() }), [true; 4]);
+    assert_eq!(gone(Features::default()), [false; 4]);
+    assert_eq!(gone(Features { confirmation_probes: false, ..Features::default() }), [true; 4]);
 }
 
 #[test]
 fn one_seed_is_one_run_and_a_dropped_fleet_is_gone() {
     let script = Script::find("split-again").expect("a shipped script");
     let run = || {
-        let report = FleetRun::new(Plan::draw(&script, 3, Some(9)), Parts::default()).play(false);
+        let report = FleetRun::new(Plan::draw(&script, 3, Some(9)), Features::default()).play(false);
         (report.bytes_s, report.datagrams_s, report.equal_s, report.known_s)
     };
     assert_eq!(run(), run());
@@ -102,7 +102,7 @@
         for seed in 1..=5 {
             let plan = Plan::draw(&script, seed, Some(8));
             assert_eq!(plan.old, 4);
-            let report = FleetRun::new(plan, Parts::default()).play(false);
+            let report = FleetRun::new(plan, Features::default()).play(false);
             assert!(report.broken.is_empty(), "{name} seed {seed}: {:#?}", report.broken);
         }
     }
--- a/crates/emulator/tests/plan.rs
+++ b/crates/emulator/tests/plan.rs
@@ -1,12 +1,12 @@
 //! The fleet's plan on the virtual clock: planted defects that scripts find, and how soon a revision is in force. That no
 //! shipped script breaks a rule is a test of `fleet.rs`.
 
-use cometcroft_consensus::Parts;
+use cometcroft_consensus::Features;
 use cometcroft_emulator::fleet::{FleetReport, FleetRun};
 use cometcroft_script::{Plan, Rule, Script};
 
-fn play(script: &Script, seed: u64, members: Option<usize>, parts: Parts) -> FleetReport {
-    let run = FleetRun::new(Plan::draw(script, seed, members), cometcroft_membership::Parts::default());
+fn play(script: &Script, seed: u64, members: Option<usize>, parts: Features) -> FleetReport {
+    let run = FleetRun::new(Plan::draw(script, seed, members), cometcroft_membership::Features::default());
     run.agreeing(parts).play(false)
 }
 
@@ -63,7 +63,7 @@
 "#;
 
 /// Whether a defect shows, by a broken rule or by an invariant inside the code.
-fn shows(script: &Script, seed: u64, parts: Parts) -> bool {
+fn shows(script: &Script, seed: u64, parts: Features) -> bool {
     let played = std::panic::catch_unwind(|| {
         let report = play(script, seed, None, parts);
         let orders = [Rule::TwoOrders, Rule::WayBack, Rule::LostWord];
@@ -77,10 +77,14 @@
     let forgets = Script::parse(FORGETS, "forgets").expect("it reads");
     let split = Script::find("plan-split").expect("a shipped script");
     let planted = [
-        ("a keeper that votes after it forgot", Parts { starts: false, ..Parts::default() }, &forgets),
-        ("applies what is not decided", Parts { decided: false, ..Parts::default() }, &split),
+        (
+            "a keeper that votes after it forgot",
+            Features { readmission: false, ..Features::default() },
+            &forgets,
+        ),
+        ("applies what is not decided", Features { decided_only: false, ..Features::default() }, &split),
     ];
-    assert!(!(1..=60).any(|seed| shows(&forgets, seed, Parts::default())), "sound code breaks nothing");
+    assert!(!(1..=60).any(|seed| shows(&forgets, seed, Features::default())), "sound code breaks nothing");
     for (what, parts, script) in planted {
         let found = (1..=60).find(|&seed| shows(script, seed, parts));
         println!("{what}: {}, seed {found:?}", script.fleet.name);
@@ -104,7 +108,7 @@
 fn a_revision_put_back_is_in_force_in_a_fleet_of_a_hundred_soon_also_with_a_leader_killed() {
     // One of the three keepers leads; whichever it is.
     for (killed, most) in [(None, 2.0), (Some("m1"), 6.0), (Some("m2"), 6.0), (Some("m3"), 6.0)] {
-        let report = play(&roll_back(killed), 1, Some(100), Parts::default());
+        let report = play(&roll_back(killed), 1, Some(100), Features::default());
         let agreed = report.agreed.expect("it has a plan");
         let last = agreed.in_force_s.iter().copied().fold(0.0, f64::max);
         println!("killed {killed:?}: {agreed:?}");
--- a/crates/emulator/tests/regions.rs
+++ b/crates/emulator/tests/regions.rs
@@ -3,7 +3,7 @@
 use cometcroft_emulator::fleet::{FleetReport, FleetRun};
 use cometcroft_emulator::kernel::MS;
 use cometcroft_emulator::net::{HostId, Links, Net};
-use cometcroft_membership::Parts;
+use cometcroft_membership::Features;
 use cometcroft_script::{NetworkPlan, Plan, Script, Way};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 fn play(text: &str, seed: u64) -> FleetReport {
     let script = Script::parse(text, "regions").expect("it reads");
-    FleetRun::new(Plan::draw(&script, seed, None), Parts::default()).play(false)
+    FleetRun::new(Plan::draw(&script, seed, None), Features::default()).play(false)
 }
 
 fn ms(ms: u64) -> Duration {
@@ -104,7 +104,7 @@
         })
         .collect();
     assert_eq!(killed, [2, 5, 8]);
-    let report = FleetRun::new(plan, Parts::default()).play(false);
+    let report = FleetRun::new(plan, Features::default()).play(false);
     assert!(report.broken.is_empty() && report.equal_s.is_some(), "{:?}", report.broken);
 }
 
--- a/crates/hollow/src/member.rs
+++ b/crates/hollow/src/member.rs
@@ -109,7 +109,7 @@
 
     /// Its view of the fleet.
     pub fn view(&self) -> View {
-        self.fleet.ask(|machine| View { digest: machine.digest(), size: machine.size() })
+        self.fleet.ask(|machine| View { digest: machine.digest(), size: machine.present_count() })
     }
 
     /// The revision that is in force here; 0 while there is none.
--- a/crates/hollow/src/traffic.rs
+++ b/crates/hollow/src/traffic.rs
@@ -27,7 +27,7 @@
 
     /// The kind of a datagram.
     pub fn of_datagram(bytes: &[u8]) -> Kind {
-        if cometcroft_consensus::is_ours(bytes) {
+        if cometcroft_consensus::is_consensus_message(bytes) {
             Kind::Plan
         } else if cometcroft_budget::is_ours(bytes) {
             Kind::Budget
--- a/crates/lab/src/capacity/measure.rs
+++ b/crates/lab/src/capacity/measure.rs
@@ -3,7 +3,7 @@
 use super::record;
 use cometcroft_capacity::data::{Dataset, FleetRecord, Moment};
 use cometcroft_emulator::fleet::FleetRun;
-use cometcroft_membership::Parts;
+use cometcroft_membership::Features;
 use cometcroft_script::{Plan, Script};
 use std::error::Error;
 use std::ops::RangeInclusive;
@@ -75,6 +75,6 @@
 
 fn play(job: &Job) -> FleetRecord {
     let plan = Plan::draw(job.script, job.seed, Some(job.members));
-    let report = FleetRun::new(plan, Parts::default()).play(false);
+    let report = FleetRun::new(plan, Features::default()).play(false);
     record::of(job.moment, &report)
 }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -3,7 +3,7 @@
 use clap::{Subcommand, ValueEnum};
 use cometcroft_emulator::fleet::{FleetReport, FleetRun};
 use cometcroft_emulator::share::{Divide, ShareReport};
-use cometcroft_membership::Parts;
+use cometcroft_membership::Features;
 use cometcroft_rig::{Options, Outcomes, RigReport, RigShare};
 use cometcroft_script::{Broken, Plan, SHIPPED, Script};
 use cometcroft_tomlfile::{Span, Time};
@@ -115,7 +115,7 @@
 /// All parts of both protocols.
 #[derive(Debug, Clone, Copy, Default)]
 struct AtWork {
-    member: Parts,
+    member: Features,
     budget: cometcroft_budget::Parts,
     divide: Divide,
 }
@@ -124,19 +124,19 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Part(Leave);
 
-type Leave = fn(&mut Parts, &mut cometcroft_budget::Parts);
+type Leave = fn(&mut Features, &mut cometcroft_budget::Parts);
 
 const PARTS: &[(&str, Leave)] = &[
-    ("indirect", |p, _| p.indirect = false),
-    ("awareness", |p, _| p.awareness = false),
+    ("indirect", |p, _| p.indirect_probes = false),
+    ("awareness", |p, _| p.local_health = false),
     ("suspicion", |p, _| p.suspicion = false),
-    ("refuting", |p, _| p.refutes = false),
-    ("generations", |p, _| p.generations = false),
-    ("trying-the-gone", |p, _| p.tries_gone = false),
-    ("caution", |p, _| p.cautious = false),
-    ("exchanges", |p, _| p.exchanges = false),
-    ("own-time", |p, _| p.own_time = false),
-    ("last-look", |p, _| p.last_look = false),
+    ("refuting", |p, _| p.refutation = false),
+    ("generations", |p, _| p.generation_order = false),
+    ("trying-the-gone", |p, _| p.reconnect = false),
+    ("caution", |p, _| p.delayed_decrease = false),
+    ("exchanges", |p, _| p.anti_entropy = false),
+    ("own-time", |p, _| p.local_suspicion = false),
+    ("last-look", |p, _| p.confirmation_probes = false),
     ("keepers-wait", |_, b| b.keeper_waits = false),
     ("divider-waits", |_, b| b.divider_waits = false),
     ("from-asking", |_, b| b.from_asking = false),
--- a/crates/membership/src/change.rs
+++ b/crates/membership/src/change.rs
@@ -17,7 +17,7 @@
     /// The reason, as text for operators.
     pub cause: &'static str,
     /// The member that reported it.
-    pub by: Name,
+    pub reporter: Name,
 }
 
 /// An action for the driver.
@@ -26,7 +26,7 @@
     /// Send a datagram to this address.
     Send(SocketAddrV4, Vec<u8>),
     /// Connect to this address, send [`Membership::view`](crate::Membership::view), and pass the answer to
-    /// [`Membership::take_view`](crate::Membership::take_view).
+    /// [`Membership::receive_view`](crate::Membership::receive_view).
     Exchange(SocketAddrV4),
     /// Report a state change.
     Changed(Change),
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -9,47 +9,47 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
     /// The longest pause that is tolerated.
-    pub longest_pause: Time,
+    pub max_pause: Time,
     /// The protocol period: one member is probed in each.
     pub period: Time,
     /// A probe without an answer is sent again after this.
-    pub again: Time,
+    pub resend_after: Time,
     /// A probe without an answer goes through other members after this.
-    pub direct: Time,
+    pub direct_timeout: Time,
     /// The suspicion timeout with enough accusers.
-    pub suspicion: Time,
+    pub min_suspicion: Time,
     /// The suspicion timeout with a single accuser.
-    pub alone: Time,
+    pub max_suspicion: Time,
     /// The interval of gossip while there are updates to pass on.
-    pub gossip: Time,
+    pub gossip_interval: Time,
     /// The longest interval at which dead members and unknown seeds are contacted, one at a time.
-    pub try_gone: Time,
+    pub max_reconnect_interval: Time,
     /// Views whose digests differ for this long are exchanged.
-    pub differ: Time,
+    pub exchange_delay: Time,
     /// A fall of the headcount takes effect after this.
-    pub settle: Time,
+    pub headcount_settle: Time,
     /// For this long after its start a member may meet its own previous generation.
-    pub young: Time,
+    pub restart_grace: Time,
     /// Dead members and those that left are removed after this.
-    pub forget: Time,
+    pub retention: Time,
 }
 
 impl Timing {
     /// The times that follow from the longest tolerated pause.
     pub fn from_pause(pause: Time) -> Timing {
         Timing {
-            longest_pause: pause,
+            max_pause: pause,
             period: pause / 5,
-            again: pause / 20,
-            direct: pause / 10,
-            suspicion: pause * 5 / 4,
-            alone: pause * 5 / 2,
-            gossip: pause / 20,
-            try_gone: pause * 3,
-            differ: pause * 3 / 4,
-            settle: pause * 5,
-            young: pause * 2,
-            forget: Duration::from_secs(600).max(pause * 30),
+            resend_after: pause / 20,
+            direct_timeout: pause / 10,
+            min_suspicion: pause * 5 / 4,
+            max_suspicion: pause * 5 / 2,
+            gossip_interval: pause / 20,
+            max_reconnect_interval: pause * 3,
+            exchange_delay: pause * 3 / 4,
+            headcount_settle: pause * 5,
+            restart_grace: pause * 2,
+            retention: Duration::from_secs(600).max(pause * 30),
         }
     }
 }
@@ -59,40 +59,40 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Features {
     /// Probe indirectly, through other members.
-    pub indirect: bool,
+    pub indirect_probes: bool,
     /// Local health awareness: take the local member's own lateness and silence into account.
-    pub awareness: bool,
+    pub local_health: bool,
     /// Suspect members before declaring them dead.
     pub suspicion: bool,
     /// Refute accusations against the local member (off: a fault).
-    pub refutes: bool,
+    pub refutation: bool,
     /// Let a lower generation never override a higher one (off: a fault).
-    pub generations: bool,
+    pub generation_order: bool,
     /// Contact dead members again, so that a healed partition merges (off: a fault).
-    pub tries_gone: bool,
+    pub reconnect: bool,
     /// Let a fall of the headcount take effect only after it has lasted (off: a fault).
-    pub cautious: bool,
+    pub delayed_decrease: bool,
     /// Exchange views that differ, and pass on news of alive members (off: a fault).
-    pub exchanges: bool,
+    pub anti_entropy: bool,
     /// Apply the local suspicion timeout to members that others report as dead (off: a fault).
-    pub own_time: bool,
+    pub local_suspicion: bool,
     /// Probe a suspect again before declaring it dead.
-    pub last_look: bool,
+    pub confirmation_probes: bool,
 }
 
 impl Default for Features {
     fn default() -> Features {
         Features {
-            indirect: true,
-            awareness: true,
+            indirect_probes: true,
+            local_health: true,
             suspicion: true,
-            refutes: true,
-            generations: true,
-            tries_gone: true,
-            cautious: true,
-            exchanges: true,
-            own_time: true,
-            last_look: true,
+            refutation: true,
+            generation_order: true,
+            reconnect: true,
+            delayed_decrease: true,
+            anti_entropy: true,
+            local_suspicion: true,
+            confirmation_probes: true,
         }
     }
 }
@@ -117,11 +117,11 @@
     /// All times.
     pub timing: Timing,
     /// The most members to hold, dead ones among them.
-    pub most: usize,
+    pub max_members: usize,
     /// Oldest and newest message format to use.
     pub formats: (u8, u8),
     /// Which parts of the protocol are on.
-    pub parts: Features,
+    pub features: Features,
 }
 
 impl Config {
@@ -136,9 +136,9 @@
             rank: 0,
             seeds: Vec::new(),
             timing: Timing::from_pause(Duration::from_secs(2)),
-            most: 4096,
+            max_members: 4096,
             formats: FORMATS,
-            parts: Features::default(),
+            features: Features::default(),
         }
     }
 }
--- a/crates/membership/src/headcount.rs
+++ b/crates/membership/src/headcount.rs
@@ -17,33 +17,33 @@
     settle: Time,
     /// Strictly falling counts, the one in force first.
     observations: VecDeque<Observation>,
-    cautious: bool,
+    delayed_decrease: bool,
 }
 
 impl Headcount {
-    /// A count that starts at `first`. A fall takes effect after `settle`, or at once unless `cautious`.
-    pub fn new(now: Time, first: u32, settle: Time, cautious: bool) -> Headcount {
+    /// A count that starts at `first`. A fall takes effect after `settle`, or at once unless `delayed_decrease`.
+    pub fn new(now: Time, first: u32, settle: Time, delayed_decrease: bool) -> Headcount {
         let observation = Observation { count: first.max(1), last_seen: now };
-        Headcount { settle, observations: VecDeque::from([observation]), cautious }
+        Headcount { settle, observations: VecDeque::from([observation]), delayed_decrease }
     }
 
-    /// Records that `at_work` sidecars are seen by a member that reaches `reached` of the `known` members, itself among
+    /// Records that `present` sidecars are seen by a member that reaches `reached` of the `known` members, itself among
     /// both, and returns the count in force.
-    pub fn see(&mut self, now: Time, at_work: u32, reached: usize, known: usize) -> u32 {
+    pub fn observe(&mut self, now: Time, present: u32, reached: usize, known: usize) -> u32 {
         // A member that is cut off sees few others, although all of them may be at work.
-        if self.cautious && reached * 2 < known {
-            let count = self.in_force().max(at_work);
+        if self.delayed_decrease && reached * 2 < known {
+            let count = self.in_force().max(present);
             self.observations.clear();
             self.observations.push_back(Observation { count, last_seen: now });
             return self.in_force();
         }
-        if !self.cautious {
+        if !self.delayed_decrease {
             self.observations.clear();
         }
-        while self.observations.back().is_some_and(|last| last.count <= at_work) {
+        while self.observations.back().is_some_and(|last| last.count <= present) {
             self.observations.pop_back();
         }
-        self.observations.push_back(Observation { count: at_work.max(1), last_seen: now });
+        self.observations.push_back(Observation { count: present.max(1), last_seen: now });
         self.drop_settled(now);
         self.in_force()
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -20,8 +20,5 @@
 pub use message::{DecodeError, MAX_DATAGRAM, Name, Record, State};
 pub use report::{Dropped, MemberReport, Report, Traffic, ZoneReach};
 
-// Old name, until its users are renamed.
-pub use config::Features as Parts;
-
 /// The driver's monotonic clock, counted from an origin of its choice.
 pub type Time = std::time::Duration;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -55,7 +55,7 @@
     /// Times that it was late itself.
     late: u64,
     /// Messages of an outdated process with a known name.
-    twins: u64,
+    name_conflicts: u64,
 }
 
 /// One member of a fleet: the whole protocol, without I/O.
@@ -100,7 +100,7 @@
             queue: DisseminationQueue::default(),
             next_gossip: now,
             anti_entropy: AntiEntropy::default(),
-            reconnect: Reconnect::new(now + first_period / 4, config.timing.direct),
+            reconnect: Reconnect::new(now + first_period / 4, config.timing.direct_timeout),
             events: EventCounters::default(),
             traffic: Traffic::default(),
             dropped: Dropped::default(),
@@ -150,7 +150,7 @@
             self.attempt_reconnect();
         }
         if now >= self.next_gossip && !self.queue.is_empty() {
-            self.next_gossip = now + self.timing().gossip;
+            self.next_gossip = now + self.timing().gossip_interval;
             self.gossip(dissemination::GOSSIP_FANOUT);
         }
         self.deadline = self.next_at();
@@ -174,7 +174,7 @@
     }
 
     /// Merges a whole view received in an exchange; returns the local view if the sender asked for it.
-    pub fn take_view(&mut self, now: Time, bytes: &[u8]) -> Option<Vec<u8>> {
+    pub fn receive_view(&mut self, now: Time, bytes: &[u8]) -> Option<Vec<u8>> {
         self.advance_clock(now);
         self.merge_view(bytes)
     }
@@ -184,12 +184,12 @@
     fn advance_clock(&mut self, now: Time) {
         self.now = self.now.max(now);
         let late_by = self.now.saturating_sub(self.deadline);
-        if late_by <= self.timing().direct || !self.features().awareness {
+        if late_by <= self.timing().direct_timeout || !self.features().local_health {
             return;
         }
         self.events.late += 1;
         self.health.degrade();
-        self.probing.abandon(self.now + self.timing().direct);
+        self.probing.abandon(self.now + self.timing().direct_timeout);
         self.extend_suspicions(late_by);
         self.anti_entropy.differing_since = None;
         self.deadline = self.now;
@@ -200,7 +200,7 @@
     }
 
     fn features(&self) -> Features {
-        self.config.parts
+        self.config.features
     }
 }
 
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -44,8 +44,8 @@
 
 impl Membership {
     /// The most bytes of a whole view.
-    pub fn longest_view(&self) -> usize {
-        VIEW_OVERHEAD + self.config.most * MAX_RECORD_SIZE * 2
+    pub fn max_view_size(&self) -> usize {
+        VIEW_OVERHEAD + self.config.max_members * MAX_RECORD_SIZE * 2
     }
 
     /// Compares a sender's digest with the local one, and asks for an exchange if they have differed for long. Views differ
@@ -56,9 +56,9 @@
             return;
         }
         let size_factor = 1.0 + self.table.present_count() as f64 / MEMBERS_TO_DOUBLE_WAIT;
-        let wait = self.timing().differ.mul_f64(size_factor) * self.anti_entropy.backoff;
+        let wait = self.timing().exchange_delay.mul_f64(size_factor) * self.anti_entropy.backoff;
         let since = *self.anti_entropy.differing_since.get_or_insert(self.now);
-        if since + wait <= self.now && self.features().exchanges {
+        if since + wait <= self.now && self.features().anti_entropy {
             self.anti_entropy.differing_since = Some(self.now);
             self.outputs.push_back(Output::Exchange(from.address()));
         }
@@ -68,7 +68,7 @@
     pub(super) fn merge_view(&mut self, bytes: &[u8]) -> Option<Vec<u8>> {
         self.traffic.exchanges += 1;
         self.traffic.exchange_bytes += bytes.len() as u64;
-        let packet = self.decode(bytes, self.longest_view())?;
+        let packet = self.decode(bytes, self.max_view_size())?;
         let wants_answer = packet.body.payload == Payload::View { answer: true };
         self.anti_entropy.view_changed = false;
         self.handle_packet(packet);
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -24,10 +24,10 @@
     /// Passes an update on, in place of those that it supersedes.
     pub(super) fn disseminate(&mut self, update: Update) {
         let about_self = update.record.name == self.local.record.name;
-        if !self.features().exchanges && update.state == State::Alive && !about_self {
+        if !self.features().anti_entropy && update.state == State::Alive && !about_self {
             return;
         }
-        self.queue.add(update, self.config.most * 2);
+        self.queue.add(update, self.config.max_members * 2);
     }
 
     /// Passes on a member's current state.
--- a/crates/membership/src/membership/inbound.rs
+++ b/crates/membership/src/membership/inbound.rs
@@ -52,7 +52,7 @@
         }
         self.health.received(self.now);
         let whole_view = matches!(body.payload, Payload::View { .. });
-        let max_updates = if whole_view { self.config.most } else { MAX_UPDATES };
+        let max_updates = if whole_view { self.config.max_members } else { MAX_UPDATES };
         for update in body.updates.into_iter().take(max_updates) {
             self.merge(update);
         }
@@ -84,9 +84,9 @@
     /// Handles a message of another process with the local member's name.
     fn handle_namesake(&mut self, from: &Record, state: State) {
         let own = &self.local;
-        let outlived = self.now > own.started + self.timing().longest_pause;
+        let outlived = self.now > own.started + self.timing().max_pause;
         if from.generation < own.record.generation && outlived && !own.superseded {
-            self.events.twins += 1;
+            self.events.name_conflicts += 1;
             let update = own.update();
             self.send(from.address(), from.formats.1, Payload::Gossip, Some(update));
         }
@@ -113,11 +113,11 @@
     /// process that keeps sending is running, and learns that it is superseded.
     fn is_outdated_sender(&mut self, from: &Record) -> bool {
         let Some(member) = self.table.get(&from.name) else { return false };
-        if from.generation >= member.record.generation || !self.features().generations {
+        if from.generation >= member.record.generation || !self.features().generation_order {
             return false;
         }
-        if self.now > member.generation_since + self.timing().longest_pause {
-            self.events.twins += 1;
+        if self.now > member.generation_since + self.timing().max_pause {
+            self.events.name_conflicts += 1;
             let update = self.update_about(&from.name);
             self.send(from.address(), from.formats.1, Payload::Gossip, update);
         } else {
@@ -128,7 +128,7 @@
 
     /// Informs a sender that is held for suspect or dead, so that it can refute.
     fn inform_accused(&mut self, from: &Record) {
-        let (now, interval) = (self.now, self.timing().direct);
+        let (now, interval) = (self.now, self.timing().direct_timeout);
         let Some(member) = self.table.get_mut(&from.name) else { return };
         let informed_lately = member.last_informed.is_some_and(|at| at + interval > now);
         if member.state.is_accusation() && !informed_lately {
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -115,7 +115,7 @@
         let (now, timing, multiplier) = (self.now, self.timing(), self.health.multiplier());
         let period = timing.period * multiplier;
         self.probing.next_period = now + period;
-        self.table.remove_absent(now, timing.forget);
+        self.table.remove_absent(now, timing.retention);
         if !self.local.is_active() {
             return;
         }
@@ -126,8 +126,8 @@
             name: record.name.clone(),
             generation: record.generation,
             sequence,
-            resend_at: Some(now + timing.again * multiplier),
-            indirect_at: Some(now + timing.direct * multiplier),
+            resend_at: Some(now + timing.resend_after * multiplier),
+            indirect_at: Some(now + timing.direct_timeout * multiplier),
             ends: now + period.mul_f64(PROBE_SHARE_OF_PERIOD),
             helpers: 0,
             nacks: 0,
@@ -150,7 +150,7 @@
         if resend && !ask_helpers {
             self.send_to(&record, Payload::Ping { sequence, name: name.clone(), generation });
         }
-        if ask_helpers && self.features().indirect {
+        if ask_helpers && self.features().indirect_probes {
             self.probe_indirectly(&record, generation, sequence);
         }
         if ended {
@@ -201,10 +201,10 @@
         self.health.probe_failed();
         // Helpers that do not even answer with a nack are a sign that the fault is the local member's own.
         let silent_helpers = probe.helpers.saturating_sub(probe.nacks);
-        if self.features().awareness && (silent_helpers > 0 || probe.helpers == 0) {
+        if self.features().local_health && (silent_helpers > 0 || probe.helpers == 0) {
             self.health.degrade();
         }
-        if self.isolated() {
+        if self.is_isolated() {
             return;
         }
         let target = self.table.get(&probe.name);
@@ -230,7 +230,7 @@
             return;
         }
         let sequence = self.probing.next_sequence();
-        let ends = self.now + self.timing().direct.mul_f64(RELAYED_SHARE_OF_DIRECT);
+        let ends = self.now + self.timing().direct_timeout.mul_f64(RELAYED_SHARE_OF_DIRECT);
         let requester_sequence = request.sequence;
         self.probing.relayed.push_back(RelayedProbe { sequence, requester, requester_sequence, ends });
         let PingRequest { name, generation, address, .. } = request;
--- a/crates/membership/src/membership/reconnect.rs
+++ b/crates/membership/src/membership/reconnect.rs
@@ -40,7 +40,7 @@
         if self.local.is_active() {
             if self.table.present_count() == 0 && !seeds.is_empty() {
                 self.join_through(&seeds);
-            } else if self.features().tries_gone {
+            } else if self.features().reconnect {
                 self.contact_one_absent(&seeds);
             }
         }
@@ -82,10 +82,10 @@
         let timing = self.timing();
         let alone = self.table.present_count() == 0;
         let interval = self.reconnect.interval;
-        let interval = if alone { interval.min(timing.longest_pause) } else { interval };
+        let interval = if alone { interval.min(timing.max_pause) } else { interval };
         let jitter = 0.75 + 0.5 * self.rng.f64();
         self.reconnect.next_attempt = self.now + interval.mul_f64(jitter);
-        self.reconnect.interval = (self.reconnect.interval * 2).min(timing.try_gone);
+        self.reconnect.interval = (self.reconnect.interval * 2).min(timing.max_reconnect_interval);
     }
 
     /// Pings whoever has this address.
--- a/crates/membership/src/membership/reporting.rs
+++ b/crates/membership/src/membership/reporting.rs
@@ -12,42 +12,42 @@
 
 impl Membership {
     /// The local member's record.
-    pub fn me(&self) -> &Record {
+    pub fn local_record(&self) -> &Record {
         &self.local.record
     }
 
     /// Whether a process with its name and a higher generation exists; this one sends nothing then.
-    pub fn superseded(&self) -> bool {
+    pub fn is_superseded(&self) -> bool {
         self.local.superseded
     }
 
     /// Whether several probes in a row were not answered.
-    pub fn isolated(&self) -> bool {
-        self.features().awareness && self.table.present_count() > 0 && self.health.is_isolated()
+    pub fn is_isolated(&self) -> bool {
+        self.features().local_health && self.table.present_count() > 0 && self.health.is_isolated()
     }
 
     /// Whether it is isolated although messages of others arrive.
-    pub fn unheard(&self) -> bool {
+    pub fn is_unheard(&self) -> bool {
         let recent = self.timing().period * RECENT_PERIODS * self.health.multiplier();
-        self.isolated() && self.health.received_within(recent, self.now)
+        self.is_isolated() && self.health.received_within(recent, self.now)
     }
 
     /// The number of members that are alive, and of those that are known and have not left; itself in both.
     pub fn reach(&self) -> (usize, usize) {
         let present = self.table.present_count();
         let alive = present - self.table.suspect_count();
-        let reached = if self.isolated() || self.superseded() { 1 } else { 1 + alive };
+        let reached = if self.is_isolated() || self.is_superseded() { 1 } else { 1 + alive };
         (reached, 1 + present + self.table.dead_count())
     }
 
     /// The number of present sidecars of a tier, itself among them unless it is leaving.
-    pub fn at_work(&self, tier: u8) -> u32 {
+    pub fn present_in_tier(&self, tier: u8) -> u32 {
         let own = self.local.record.tier == tier && !self.local.leaving;
         self.table.present_in_tier(tier) + u32::from(own)
     }
 
     /// The number of present members, itself among them.
-    pub fn size(&self) -> usize {
+    pub fn present_count(&self) -> usize {
         self.table.present_count() + 1
     }
 
@@ -57,18 +57,18 @@
     }
 
     /// A member's state and generation; `None` if it is not known.
-    pub fn sees(&self, name: &Name) -> Option<(State, u64)> {
+    pub fn lookup(&self, name: &Name) -> Option<(State, u64)> {
         self.table.get(name).map(|member| (member.state, member.record.generation))
     }
 
     /// The names and generations of all present members, itself last.
-    pub fn who(&self) -> impl Iterator<Item = (&Name, u64)> {
+    pub fn present_members(&self) -> impl Iterator<Item = (&Name, u64)> {
         let others = self.table.iter().filter(|member| member.is_present()).map(|member| &member.record);
         others.chain([&self.local.record]).map(|record| (&record.name, record.generation))
     }
 
     /// Counters of messages.
-    pub fn counted(&self) -> (Traffic, Dropped) {
+    pub fn counters(&self) -> (Traffic, Dropped) {
         (self.traffic, self.dropped)
     }
 
@@ -84,13 +84,13 @@
             reached,
             known,
             zones: self.zone_reach(reached > 1),
-            isolated: self.isolated(),
-            unheard: self.unheard(),
+            isolated: self.is_isolated(),
+            unheard: self.is_unheard(),
             superseded: local.superseded,
             own_slowness: self.health.score(),
             refuted: self.events.refuted,
             late: self.events.late,
-            twins: self.events.twins,
+            name_conflicts: self.events.name_conflicts,
             digest: format!("{:016x}", self.digest()),
             traffic: self.traffic,
             dropped: self.dropped,
@@ -118,7 +118,7 @@
         let record = &member.record;
         MemberReport {
             name: record.name.to_string(),
-            state: member.state.word(),
+            state: member.state.as_str(),
             for_ms: ms_since(member.since),
             heard_ms: member.last_received.map(ms_since),
             generation: record.generation,
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -17,7 +17,7 @@
     pub(super) fn accuse(&mut self, name: &Name, reporter: Name, accusation: State, cause: Cause) {
         let (features, reported_dead) = (self.features(), accusation == State::Dead);
         let Some(member) = self.table.get(name) else { return };
-        if !features.suspicion || (reported_dead && !features.own_time) {
+        if !features.suspicion || (reported_dead && !features.local_suspicion) {
             if member.state != State::Dead {
                 self.transition(name, State::Dead, cause, &reporter);
                 self.disseminate_state_of(name);
@@ -51,7 +51,7 @@
     /// A member that another holds for dead gets no more than the shortest timeout. The other side of a partition holds all
     /// of this side for dead; whoever lives still has the time to refute it.
     fn shorten_to_full_suspicion(&mut self, name: &Name) {
-        let suspicion = self.timing().suspicion;
+        let suspicion = self.timing().min_suspicion;
         if let Some(member) = self.table.get_mut(name).filter(|member| member.state == State::Suspect) {
             member.suspect_until = member.suspect_until.min(member.since + suspicion);
         }
@@ -67,7 +67,7 @@
             1 => 1.0,
             _ => ((member.accusers.len() as f64).ln() / (wanted as f64).ln()).min(1.0),
         };
-        let timeout = timing.alone - (timing.alone - timing.suspicion).mul_f64(share);
+        let timeout = timing.max_suspicion - (timing.max_suspicion - timing.min_suspicion).mul_f64(share);
         member.suspect_until = member.suspect_until.min(member.since + timeout);
     }
 
@@ -80,7 +80,7 @@
             && member.record.generation == generation
         {
             member.since = now;
-            member.suspect_until = now + timing.alone;
+            member.suspect_until = now + timing.max_suspicion;
             member.confirmation_probes = 0;
             member.accusers.truncate(1);
         }
@@ -88,7 +88,7 @@
 
     /// Extends all suspicions because the local member was paused for `late_by`.
     pub(super) fn extend_suspicions(&mut self, late_by: Time) {
-        let earliest = self.deadline + late_by + self.timing().suspicion;
+        let earliest = self.deadline + late_by + self.timing().min_suspicion;
         let suspects: Vec<Name> = self.table.suspects().cloned().collect();
         for name in suspects {
             if let Some(member) = self.table.get_mut(&name) {
@@ -106,16 +106,16 @@
     /// When a suspect is to be probed again or times out.
     fn suspicion_due(&self, member: &Member) -> Time {
         let timing = self.timing();
-        let probes_left = match self.features().last_look {
+        let probes_left = match self.features().confirmation_probes {
             true => MAX_CONFIRMATION_PROBES.saturating_sub(member.confirmation_probes),
             false => 0,
         };
         if probes_left == 0 {
             return member.suspect_until;
         }
-        let interval = timing.suspicion / MAX_CONFIRMATION_PROBES;
+        let interval = timing.min_suspicion / MAX_CONFIRMATION_PROBES;
         let next_probe = member.suspect_until.saturating_sub(interval * probes_left);
-        next_probe.max(member.last_confirmation_probe + timing.direct).min(member.suspect_until)
+        next_probe.max(member.last_confirmation_probe + timing.direct_timeout).min(member.suspect_until)
     }
 
     /// Probes suspects again, or declares them dead, as is due.
@@ -128,8 +128,8 @@
                 continue;
             }
             // A member that nobody answers cannot tell dead members from those that it does not reach.
-            if self.isolated() {
-                let until = now + self.timing().suspicion;
+            if self.is_isolated() {
+                let until = now + self.timing().min_suspicion;
                 if let Some(member) = self.table.get_mut(&name) {
                     member.suspect_until = until;
                 }
@@ -144,9 +144,9 @@
     /// Probes a suspect again if it has probes left; returns whether it did. Updates are passed on a limited number of times,
     /// so the suspect's refutation may have reached all members but the local one.
     fn send_confirmation_probe(&mut self, name: &Name) -> bool {
-        let (now, direct) = (self.now, self.timing().direct);
+        let (now, direct) = (self.now, self.timing().direct_timeout);
         let sequence = self.probing.next_sequence();
-        if !self.features().last_look {
+        if !self.features().confirmation_probes {
             return false;
         }
         let Some(member) = self.table.get_mut(name) else { return false };
--- a/crates/membership/src/membership/transitions.rs
+++ b/crates/membership/src/membership/transitions.rs
@@ -11,7 +11,7 @@
         self.enter_state(name, previous, to, reporter);
         if to == State::Dead || previous == State::Dead {
             // Dead members are contacted soon, and ever more rarely while nothing changes.
-            self.reconnect.hasten(self.now, self.timing().longest_pause / 2);
+            self.reconnect.hasten(self.now, self.timing().max_pause / 2);
         }
         if previous != to || matches!(cause, Cause::Discovered | Cause::Restarted) {
             self.anti_entropy.view_changed = true;
@@ -25,7 +25,7 @@
 
     /// Sets what belongs to the new state: its start, and a suspicion's accuser and timeout.
     fn enter_state(&mut self, name: &Name, previous: State, to: State, reporter: &Name) {
-        let (now, timeout) = (self.now, self.timing().alone);
+        let (now, timeout) = (self.now, self.timing().max_suspicion);
         let Some(member) = self.table.get_mut(name) else { return };
         if to == State::Suspect {
             member.accusers.push(reporter.clone());
@@ -46,7 +46,7 @@
             from,
             to,
             cause: cause.text(),
-            by: reporter.clone(),
+            reporter: reporter.clone(),
         };
         self.outputs.push_back(Output::Changed(change));
     }
--- a/crates/membership/src/membership/updates.rs
+++ b/crates/membership/src/membership/updates.rs
@@ -19,7 +19,7 @@
             return;
         };
         let known_generation = member.record.generation;
-        if record.generation < known_generation && self.features().generations {
+        if record.generation < known_generation && self.features().generation_order {
             self.dropped.stale += 1;
         } else if record.generation != known_generation {
             self.merge_restart(update);
@@ -30,7 +30,7 @@
 
     /// Adds a member that was not known.
     fn discover(&mut self, update: Update) {
-        if !self.table.insert(update.record.clone(), self.now, self.config.most) {
+        if !self.table.insert(update.record.clone(), self.now, self.config.max_members) {
             self.dropped.full += 1;
             return;
         }
@@ -97,7 +97,7 @@
             && !self.local.leaving
             && state != State::Alive
             && record.incarnation >= own.incarnation
-            && self.features().refutes
+            && self.features().refutation
         {
             self.refute(record.incarnation, reporter);
         }
@@ -106,12 +106,12 @@
     /// Handles a higher generation under the local member's name. Soon after the start it is a previous start's, whose wall
     /// clock was ahead: the local member raises its own generation above it. Otherwise another process has taken the name.
     fn meet_higher_generation(&mut self, record: &Record) {
-        let young = self.now < self.local.started + self.timing().young;
+        let young = self.now < self.local.started + self.timing().restart_grace;
         if young && !self.local.raised_generation {
             self.local.raised_generation = true;
             let generation = record.generation + 1;
             self.change_own_record(|own| (own.generation, own.incarnation) = (generation, 0));
-        } else if self.features().generations {
+        } else if self.features().generation_order {
             self.become_superseded(record);
         }
     }
@@ -127,7 +127,7 @@
             from: Some(State::Alive),
             to: State::Dead,
             cause: Cause::Superseded.text(),
-            by: successor.name.clone(),
+            reporter: successor.name.clone(),
         }));
     }
 
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -84,12 +84,8 @@
 }
 
 impl State {
-    // Old name, until its users are renamed.
-    #[allow(non_upper_case_globals, missing_docs)]
-    pub const Gone: State = State::Dead;
-
     /// The state as reports and logs spell it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             State::Alive => "alive",
             State::Suspect => "suspect",
--- a/crates/membership/src/report.rs
+++ b/crates/membership/src/report.rs
@@ -110,7 +110,8 @@
     /// How often it was late itself.
     pub late: u64,
     /// How often it met two processes of one name.
-    pub twins: u64,
+    #[serde(rename = "twins")]
+    pub name_conflicts: u64,
     /// The digest of the present members; equal views have equal digests.
     pub digest: String,
     /// Message and probe counters.
--- a/crates/membership/tests/machine.rs
+++ b/crates/membership/tests/machine.rs
@@ -16,7 +16,7 @@
 fn member(i: u8, unix_ms: u64) -> Membership {
     let mut config = Config::new("f", name(&format!("m{i}")), address(i));
     config.seeds = vec![address(1)];
-    config.most = 16;
+    config.max_members = 16;
     Membership::new(config, Time::ZERO, unix_ms, u64::from(i))
 }
 
@@ -45,7 +45,7 @@
                 members[i].tick(ms(now));
             }
             for (to, bytes) in sent(&mut members[i], seen) {
-                let to = members.iter_mut().find(|m| m.me().address() == to);
+                let to = members.iter_mut().find(|m| m.local_record().address() == to);
                 to.into_iter().for_each(|m| m.receive(ms(now), &bytes));
             }
         }
@@ -66,13 +66,13 @@
     talk(&mut members, 2000, 4000, &mut seen);
     let before: Vec<u64> = members.iter().map(Membership::digest).collect();
     assert!(before.iter().all(|digest| *digest == before[0]), "all views are equal");
-    let generation = members[1].me().generation;
+    let generation = members[1].local_record().generation;
     for at in 0..5 {
-        members[2].take_view(ms(4000 + at), &old);
+        members[2].receive_view(ms(4000 + at), &old);
     }
-    assert_eq!(members[2].sees(&name("m2")), Some((State::Alive, generation)));
+    assert_eq!(members[2].lookup(&name("m2")), Some((State::Alive, generation)));
     assert_eq!(members[2].digest(), before[2]);
-    assert!(members[2].counted().1.stale > 0, "what was old is counted");
+    assert!(members[2].counters().1.stale > 0, "what was old is counted");
 }
 
 #[test]
@@ -89,11 +89,11 @@
     }
     let mut foreign = Membership::new(Config::new("g", name("x"), address(99)), Time::ZERO, 1, 1);
     let view = foreign.view();
-    assert_eq!(members[0].take_view(ms(2000), &view), None);
-    let (_, dropped) = members[0].counted();
+    assert_eq!(members[0].receive_view(ms(2000), &view), None);
+    let (_, dropped) = members[0].counters();
     assert!(dropped.full > 0 && dropped.foreign == 1, "{dropped:?}");
     for i in 2..=4 {
-        let (state, _) = members[0].sees(&name(&format!("m{i}"))).expect("it is still known");
+        let (state, _) = members[0].lookup(&name(&format!("m{i}"))).expect("it is still known");
         assert_eq!(state, State::Alive);
     }
     assert!(members[0].report().members.len() <= 16);
@@ -103,13 +103,13 @@
 fn a_start_whose_clock_was_set_back_goes_over_its_former_life() {
     let (mut members, mut seen) = (fleet(), Vec::new());
     talk(&mut members, 0, 2000, &mut seen);
-    let former = members[2].me().generation;
+    let former = members[2].local_record().generation;
     members[2] = member(3, 7);
-    assert!(members[2].me().generation < former);
+    assert!(members[2].local_record().generation < former);
     talk(&mut members, 2000, 5000, &mut seen);
-    let now = members[2].me().generation;
-    assert!(now > former && !members[2].superseded());
-    assert_eq!(members[0].sees(&name("m3")), Some((State::Alive, now)));
+    let now = members[2].local_record().generation;
+    assert!(now > former && !members[2].is_superseded());
+    assert_eq!(members[0].lookup(&name("m3")), Some((State::Alive, now)));
 }
 
 #[test]
@@ -119,8 +119,8 @@
     members[3].leave(ms(2000));
     talk(&mut members, 2000, 3000, &mut seen);
     for member in &members[..3] {
-        assert_eq!(member.sees(&name("m4")).map(|(state, _)| state), Some(State::Left));
-        assert_eq!(member.at_work(0), 3);
+        assert_eq!(member.lookup(&name("m4")).map(|(state, _)| state), Some(State::Left));
+        assert_eq!(member.present_in_tier(0), 3);
     }
     assert!(seen.iter().all(|change| !matches!(change.to, State::Suspect | State::Dead)));
 }
@@ -139,7 +139,7 @@
         let digest = members[0].digest();
         for bytes in &noise {
             members[0].receive(ms(1500), bytes);
-            members[0].take_view(ms(1500), bytes);
+            members[0].receive_view(ms(1500), bytes);
         }
         let mut other = member(9, 50);
         other.tick(ms(1500));
--- a/crates/membership/tests/mutants/mod.rs
+++ b/crates/membership/tests/mutation/mod.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Where the messages are kept of the crate that is tested.
-pub fn corpus() -> PathBuf {
+pub fn corpus_dir() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/corpus")
 }
 
@@ -45,8 +45,8 @@
 }
 
 /// All that is kept.
-pub fn kept() -> Vec<Vec<u8>> {
-    let entries = std::fs::read_dir(corpus()).expect("the corpus");
+pub fn read_corpus() -> Vec<Vec<u8>> {
+    let entries = std::fs::read_dir(corpus_dir()).expect("the corpus");
     let mut files: Vec<PathBuf> = entries.map(|entry| entry.expect("an entry").path()).collect();
     files.sort();
     files.iter().map(|file| std::fs::read(file).expect("a file")).collect()
--- a/crates/membership/tests/report_json.rs
+++ b/crates/membership/tests/report_json.rs
@@ -13,7 +13,7 @@
 fn json_of_the_report_is_unchanged() {
     let (mut first, mut second) = (member(1), member(2));
     let view = second.view();
-    assert!(first.take_view(Time::from_millis(10), &view).is_some());
+    assert!(first.receive_view(Time::from_millis(10), &view).is_some());
     let json = serde_json::to_string(&first.report()).expect("JSON");
     assert_eq!(
         json,
--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -3,7 +3,7 @@
 use crate::content::{Content, OutOf};
 use crate::error::PlanError;
 use crate::word::{Answer, Id, Said, What, Word};
-use cometcroft_consensus::Machine;
+use cometcroft_consensus::StateMachine;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -165,7 +165,7 @@
     }
 }
 
-impl Machine for Plan {
+impl StateMachine for Plan {
     fn fresh() -> Plan {
         let mut plan = Plan::default();
         plan.keep(
--- a/crates/plan/tests/model.rs
+++ b/crates/plan/tests/model.rs
@@ -1,7 +1,7 @@
 //! The plan and what only the leader says, model-checked: operators' words, leaders' words that are held up on their way and
 //! come late or twice, halts, sidecars that are cut off. The code that ships.
 
-use cometcroft_consensus::Machine;
+use cometcroft_consensus::StateMachine;
 use cometcroft_plan::{
     Answer, Id, Parts, PermitState, Phase, Plan, Presence, Said, Standing, Steward, What, Word,
 };
--- a/crates/plan/tests/throttle.rs
+++ b/crates/plan/tests/throttle.rs
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_storm_is_said_once_and_ends_by_its_lower_bound() {
-    use cometcroft_consensus::Machine;
+    use cometcroft_consensus::StateMachine;
     use cometcroft_plan::{Id, Plan, Said, Steward, Word};
     let mut plan = Plan::fresh();
     let mut index = 0;
--- a/crates/plan/tests/words.rs
+++ b/crates/plan/tests/words.rs
@@ -1,6 +1,6 @@
 //! Random words against a reference model, what holds after each of them, and planted defects that break it.
 
-use cometcroft_consensus::Machine;
+use cometcroft_consensus::StateMachine;
 use cometcroft_plan::{
     Answer, Content, Id, Parts, PermitState, Plan, PlanError, Presence, Said, Standing, Steward, What, Word,
 };
--- a/crates/sidecar/src/accord.rs
+++ b/crates/sidecar/src/accord.rs
@@ -4,7 +4,7 @@
 
 use crate::http::server::Request;
 use cometcroft::Settings;
-use cometcroft_consensus::{Config, ConsensusError, Log, Place, Status, Time};
+use cometcroft_consensus::{Config, ConsensusError, Log, Peer, Position, Status, Time};
 use cometcroft_membership::{Membership, Record};
 use cometcroft_plan::{
     Answer, Content, Happened, Id, PermitState, Plan, PlanError, Presence, Said, Standing, Steward, Throttle,
@@ -155,8 +155,8 @@
     wait: Duration,
     divides: bool,
     /// The entry up to which it is in force here, and the one that was told of last.
-    in_force: Cell<Place>,
-    noticed: Cell<Place>,
+    in_force: Cell<Position>,
+    noticed: Cell<Position>,
     revision: Cell<u32>,
     storm: Cell<bool>,
     /// Something is to be said or told.
@@ -198,8 +198,8 @@
             tier: me.tier,
             wait,
             divides,
-            in_force: Cell::new(Place::default()),
-            noticed: Cell::new(Place::default()),
+            in_force: Cell::new(Position::default()),
+            noticed: Cell::new(Position::default()),
             revision: Cell::new(0),
             storm: Cell::new(false),
             wake: Notify::new(),
@@ -253,7 +253,7 @@
     pub(crate) fn receive(&self, bytes: &[u8]) {
         self.log.borrow_mut().receive(self.now(), bytes);
         loop {
-            let aside = self.log.borrow_mut().hear_aside();
+            let aside = self.log.borrow_mut().take_out_of_band();
             let Some((_, bytes)) = aside else { break };
             if let Ok(told) = postcard::from_bytes::<Told>(&bytes) {
                 self.heard(told);
@@ -281,7 +281,7 @@
 
     /// Whether something was agreed that is not in force here yet.
     pub(crate) fn news(&self) -> bool {
-        let place = self.log.borrow().place();
+        let place = self.log.borrow().position();
         let news = place != self.noticed.replace(place);
         if news {
             self.applied.notify_waiters();
@@ -294,7 +294,7 @@
         let report = members.report();
         let mut peers = Vec::new();
         let mut standing = vec![self.standing_of_own()];
-        let (heard, founding) = (self.heard.borrow(), self.log.borrow().place().founding);
+        let (heard, founding) = (self.heard.borrow(), self.log.borrow().position().bootstrap_id);
         for row in &report.members {
             let presence = match row.state {
                 "alive" | "suspect" => Presence::There,
@@ -304,7 +304,7 @@
             if presence == Presence::There
                 && let Ok(address) = row.address.parse()
             {
-                peers.push((address, row.zone == self.zone));
+                peers.push(Peer { address, near: row.zone == self.zone });
             }
             let known = heard.get(&row.name).and_then(|known| known.stands(row.generation, founding, now));
             let (index, ready) = known.unwrap_or_default();
@@ -319,7 +319,7 @@
             });
         }
         self.standing.replace(standing);
-        self.log.borrow_mut().meet(peers);
+        self.log.borrow_mut().set_peers(peers);
     }
 
     fn standing_of_own(&self) -> Standing {
@@ -336,8 +336,8 @@
 
     /// The entry up to which the present founding's plan is in force here.
     fn confirmed(&self) -> u64 {
-        let (in_force, founding) = (self.in_force.get(), self.log.borrow().place().founding);
-        if in_force.founding == founding { in_force.index } else { 0 }
+        let (in_force, founding) = (self.in_force.get(), self.log.borrow().position().bootstrap_id);
+        if in_force.bootstrap_id == founding { in_force.index } else { 0 }
     }
 
     fn is_ready(&self) -> bool {
@@ -349,15 +349,15 @@
         let told = Told {
             name: self.name.clone(),
             generation: self.generation,
-            founding: self.in_force.get().founding,
+            founding: self.in_force.get().bootstrap_id,
             index: self.in_force.get().index,
             revision: self.revision.get(),
             ready: self.is_ready(),
             tries: self.throttle.borrow_mut().tries(),
         };
         let bytes = postcard::to_stdvec(&told).unwrap_or_default();
-        self.log.borrow_mut().aside(&bytes);
-        if self.log.borrow().config().place().is_some() {
+        self.log.borrow_mut().send_out_of_band(&bytes);
+        if self.log.borrow().config().voter_index().is_some() {
             self.heard(told);
         }
     }
@@ -368,7 +368,7 @@
             return;
         }
         {
-            let (heard, founding) = (self.heard.borrow(), self.log.borrow().place().founding);
+            let (heard, founding) = (self.heard.borrow(), self.log.borrow().position().bootstrap_id);
             for it in self.standing.borrow_mut().iter_mut() {
                 if it.name == self.name {
                     *it = self.standing_of_own();
@@ -382,7 +382,7 @@
         let mut log = self.log.borrow_mut();
         let word = self.steward.borrow_mut().word(log.machine(), now, &self.standing.borrow());
         let Some(word) = word else { return };
-        let id = Steward::id(&word, log.place().index);
+        let id = Steward::id(&word, log.position().index);
         let (last, at) = self.said.get();
         if last == id.0 && now < at + TELL {
             return;
@@ -397,7 +397,7 @@
             word,
         };
         // One that can't be said now is thought of again.
-        let _ = log.say(now, said.bytes(), now + TELL);
+        let _ = log.propose(now, said.bytes(), now + TELL);
     }
 
     /// Says a word and waits for what comes of it.
@@ -420,7 +420,7 @@
         let until = self.platform.now() + ANSWER;
         let now = self.now();
         if self.log.borrow().machine().answer(id).is_none() {
-            self.log.borrow_mut().say(now, said.bytes(), now + ANSWER)?;
+            self.log.borrow_mut().propose(now, said.bytes(), now + ANSWER)?;
             self.wake.notify_one();
         }
         loop {
@@ -439,12 +439,12 @@
 
     /// Begins the log anew, from the newest copy that is reached.
     pub async fn found(&self) -> Result<u64, Failure> {
-        self.log.borrow_mut().found(self.now())?;
+        self.log.borrow_mut().bootstrap(self.now())?;
         self.wake.notify_one();
         let until = self.platform.now() + FOUNDED;
         while self.platform.now() < until {
             self.platform.sleep(Duration::from_millis(20)).await;
-            if let Some(founded) = self.log.borrow_mut().founding() {
+            if let Some(founded) = self.log.borrow_mut().bootstrap_result() {
                 return Ok(founded?.index);
             }
         }
@@ -493,7 +493,7 @@
     /// Waits until a plan is known, or not any longer.
     pub async fn first(&self) {
         let until = self.platform.now() + self.wait;
-        while self.log.borrow().place().index == 0 {
+        while self.log.borrow().position().index == 0 {
             if self.platform.timeout_at(until, self.applied.notified()).await.is_err() {
                 (self.listener)(AccordEvent::ByFile);
                 return;
@@ -532,7 +532,7 @@
         let (revision, content) = self.content();
         let (place, storm) = {
             let log = self.log.borrow();
-            (log.place(), log.machine().storm().0)
+            (log.position(), log.machine().storm().0)
         };
         self.throttle.borrow_mut().change(content, storm, now);
         if self.storm.replace(storm) != storm {
@@ -638,7 +638,7 @@
         let standing = self.standing.borrow();
         let heard = self.heard.borrow();
         // Only keepers hear where all stand.
-        let (keeper, founding) = (log.config().place().is_some(), log.place().founding);
+        let (keeper, founding) = (log.config().voter_index().is_some(), log.position().bootstrap_id);
         let mut by_revision: BTreeMap<u32, usize> = BTreeMap::new();
         let mut behind = Vec::new();
         if keeper {
--- a/crates/sidecar/src/fleet.rs
+++ b/crates/sidecar/src/fleet.rs
@@ -72,10 +72,11 @@
     pub fn new(platform: P, parts: FleetParts<P>, instances: u32, seed: u64) -> (Rc<Fleet<P>>, P::Listener) {
         let FleetParts { config, socket, listener, from, watcher, budget, accord } = parts;
         let origin = platform.now();
-        let (tier, cautious, settle) = (config.tier, config.parts.cautious, config.timing.settle);
+        let (tier, cautious, settle) =
+            (config.tier, config.features.delayed_decrease, config.timing.headcount_settle);
         let unix = platform.unix().as_millis() as u64;
         let machine = Membership::new(config, Time::ZERO, unix, seed);
-        let accord = accord.map(|parts| Accord::new(platform.clone(), parts, machine.me(), !seed));
+        let accord = accord.map(|parts| Accord::new(platform.clone(), parts, machine.local_record(), !seed));
         let fleet = Fleet {
             machine: RefCell::new(machine),
             socket,
@@ -142,7 +143,9 @@
     }
 
     fn hear(&self, from: SocketAddr, bytes: &[u8]) {
-        if let Some(accord) = self.accord.as_ref().filter(|_| cometcroft_consensus::is_ours(bytes)) {
+        if let Some(accord) =
+            self.accord.as_ref().filter(|_| cometcroft_consensus::is_consensus_message(bytes))
+        {
             accord.receive(bytes);
             return;
         }
@@ -178,7 +181,7 @@
         let now = self.now();
         let machine = self.machine.borrow();
         let (reached, known) = machine.reach();
-        let count = self.count.borrow_mut().see(now, machine.at_work(self.tier), reached, known);
+        let count = self.count.borrow_mut().observe(now, machine.present_in_tier(self.tier), reached, known);
         let purses = self.purses.as_ref();
         while let Some((to, bytes)) = purses.and_then(|purses| purses.output()) {
             drop(self.socket.send(&bytes, to.into()));
@@ -221,11 +224,11 @@
         let mut stream = self.platform.connect_from(self.from, to).await?;
         let view = self.machine.borrow_mut().view();
         write(&mut stream, &view).await?;
-        let longest = self.machine.borrow().longest_view();
+        let longest = self.machine.borrow().max_view_size();
         let mut head = [0; 4];
         stream.read_exact(&mut head).await?;
         let theirs = read(&mut stream, head, longest).await?;
-        self.machine.borrow_mut().take_view(self.now(), &theirs);
+        self.machine.borrow_mut().receive_view(self.now(), &theirs);
         Ok(())
     }
 
@@ -244,7 +247,7 @@
             let fleet = self.clone();
             self.platform.detach(async move {
                 let visit = async {
-                    let longest = fleet.machine.borrow().longest_view();
+                    let longest = fleet.machine.borrow().max_view_size();
                     let mut head = [0; 4];
                     stream.read_exact(&mut head).await?;
                     if let Some(accord) = fleet.accord.as_ref().filter(|_| head == *LETTER) {
@@ -254,7 +257,7 @@
                         return Ok(());
                     }
                     let theirs = read(&mut stream, head, longest).await?;
-                    let answer = fleet.machine.borrow_mut().take_view(fleet.now(), &theirs);
+                    let answer = fleet.machine.borrow_mut().receive_view(fleet.now(), &theirs);
                     match answer {
                         Some(answer) => write(&mut stream, &answer).await,
                         None => Ok(()),
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -278,9 +278,9 @@
     let socket = UdpSocket::bind(at).await.map_err(named)?;
     let listener = TcpListener::bind(socket.local_addr()?).await.map_err(named)?;
     let watcher = Box::new(|change: &Change| {
-        let (from, to) = (change.from.map_or("unknown", |state| state.word()), change.to.word());
+        let (from, to) = (change.from.map_or("unknown", |state| state.as_str()), change.to.as_str());
         tracing::info!(
-            member = %change.name, generation = change.generation, from, to, cause = change.cause, by = %change.by,
+            member = %change.name, generation = change.generation, from, to, cause = change.cause, by = %change.reporter,
             "member changed"
         );
     });
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -56,7 +56,7 @@
     fn config(&self, fleet: &FleetSection) -> consensus::Config {
         let address = fleet.advertise.unwrap_or(fleet.bind);
         let mut config = consensus::Config::new(&fleet.name, address, self.keepers.clone());
-        config.gossip = self.gossip.exact();
+        config.gossip_interval = self.gossip.exact();
         config
     }
 
@@ -82,11 +82,11 @@
     /// What the section comes to, in a line.
     pub fn told(&self, fleet: &FleetSection) -> String {
         let config = self.config(fleet);
-        let own = if config.place().is_some() { "one of them" } else { "not one of them" };
+        let own = if config.voter_index().is_some() { "one of them" } else { "not one of them" };
         format!(
             "plan of {:016x}: {} keepers, this sidecar {own}; waits {:?} for it at a start",
             config.digest,
-            config.keepers.len(),
+            config.voters.len(),
             self.wait.exact(),
         )
     }
@@ -249,16 +249,16 @@
         let said = &self.timing;
         if let Some(period) = said.period {
             timing.period = period.exact();
-            timing.direct = timing.period / 2;
-            timing.again = timing.period / 4;
-            timing.gossip = timing.period / 4;
+            timing.direct_timeout = timing.period / 2;
+            timing.resend_after = timing.period / 4;
+            timing.gossip_interval = timing.period / 4;
         }
         if let Some(suspicion) = said.suspicion {
-            timing.suspicion = suspicion.exact();
-            timing.alone = timing.suspicion * 2;
+            timing.min_suspicion = suspicion.exact();
+            timing.max_suspicion = timing.min_suspicion * 2;
         }
-        timing.settle = said.settle.map_or(timing.settle, Time::exact);
-        timing.forget = said.forget.map_or(timing.forget, Time::exact);
+        timing.headcount_settle = said.settle.map_or(timing.headcount_settle, Time::exact);
+        timing.retention = said.forget.map_or(timing.retention, Time::exact);
         timing
     }
 
@@ -285,16 +285,16 @@
         if timing.period < Duration::from_millis(20) {
             return bad("period", "must be at least 20ms");
         }
-        if timing.suspicion < timing.period * 2 {
+        if timing.min_suspicion < timing.period * 2 {
             return bad("suspicion", "must be at least two periods, or nobody has the time to deny it");
         }
-        if timing.suspicion < pause {
+        if timing.min_suspicion < pause {
             return bad("suspicion", "must be at least longest_pause, or a pause looks like an end");
         }
-        if timing.settle < timing.suspicion {
+        if timing.headcount_settle < timing.min_suspicion {
             return bad("settle", "must be at least the suspicion");
         }
-        if timing.forget < timing.settle {
+        if timing.retention < timing.headcount_settle {
             return bad("forget", "must be at least settle");
         }
         Ok(())
@@ -311,7 +311,7 @@
         member.rank = u16::try_from(config.settings.rank).unwrap_or(u16::MAX);
         member.seeds = self.seeds.clone();
         member.timing = self.timing();
-        member.most = self.most;
+        member.max_members = self.most;
         Ok(member)
     }
 
@@ -332,12 +332,12 @@
             self.bind,
             self.seeds.len(),
             self.most,
-            timing.longest_pause,
+            timing.max_pause,
             timing.period,
-            timing.suspicion,
-            timing.alone,
-            timing.settle,
-            timing.forget,
+            timing.min_suspicion,
+            timing.max_suspicion,
+            timing.headcount_settle,
+            timing.retention,
         )
     }
 }
--- a/crates/sidecar/src/words.rs
+++ b/crates/sidecar/src/words.rs
@@ -73,7 +73,9 @@
 fn refused(failure: &Failure) -> (Status, Value) {
     let status = match failure {
         failure if failure.unknown() => Status::GatewayTimeout,
-        Failure::Log(ConsensusError::NotFounded | ConsensusError::Crowded(_)) => Status::Unavailable,
+        Failure::Log(ConsensusError::NotBootstrapped | ConsensusError::TooManyProposals(_)) => {
+            Status::Unavailable
+        }
         _ => Status::Conflict,
     };
     (status, failure.json())
