--- a/crates/emulator/src/sabotage.rs
+++ b/crates/emulator/src/sabotage.rs
@@ -2,7 +2,7 @@
 //! runs don't pass through here.
 
 use crate::platform::Emulated;
-use cometcroft::{Outcome, UpstreamId};
+use cometcroft::{EndpointId, Outcome};
 use cometcroft_platform::Platform;
 use cometcroft_sidecar::backend::Lease;
 use cometcroft_sidecar::dispatch::{HttpCarrier, Payload};
@@ -73,7 +73,7 @@
     /// Connections that were kept.
     pub hoard: Rc<RefCell<Vec<Lease<Sim>>>>,
     /// The newest backend server, and when it was first sent to.
-    pub newest: Cell<Option<(UpstreamId, Instant)>>,
+    pub newest: Cell<Option<(EndpointId, Instant)>>,
 }
 
 impl Saboteur {
@@ -94,7 +94,7 @@
 
     fn dispatch(
         &self,
-        to: UpstreamId,
+        to: EndpointId,
         payload: Rc<Payload>,
         timeout: Duration,
         latest: Option<Instant>,
@@ -164,11 +164,11 @@
         }
     }
 
-    fn probe(&self, to: UpstreamId) -> Later<Probed> {
+    fn probe(&self, to: EndpointId) -> Later<Probed> {
         self.inner.probe(to)
     }
 
-    fn close_idle(&self, to: UpstreamId) {
+    fn close_idle(&self, to: EndpointId) {
         self.inner.close_idle(to);
     }
 }
--- a/crates/module/benches/support/day.rs
+++ b/crates/module/benches/support/day.rs
@@ -33,7 +33,7 @@
     Call,
     Refresh,
     Late(RequestId),
-    Answer(RequestId, UpstreamId, u32),
+    Answer(RequestId, EndpointId, u32),
     Change(u32),
 }
 
@@ -71,8 +71,8 @@
             sent: 0,
         };
         day.handle(Event::Start);
-        let entries = (0..rows).map(|id| entry(id, State::Ready)).collect();
-        day.handle(Event::Members { scope: ListScope::Complete, entries });
+        let entries = (0..rows).map(|id| entry(id, EndpointState::Ready)).collect();
+        day.handle(Event::EndpointList { scope: ListScope::Complete, entries });
         day.at(Duration::ZERO, Due::Call);
         if changes != Changes::None {
             day.at(CHANGE_EVERY, Due::Change(0));
@@ -99,8 +99,8 @@
         match due {
             Due::Call => self.call(),
             Due::Refresh => self.handle(Event::Timer(Timer::Refresh)),
-            Due::Late(id) => self.handle(Event::Timer(Timer::Request(id))),
-            Due::Answer(request, upstream, attempt) => self.answer(request, upstream, attempt),
+            Due::Late(id) => self.handle(Event::Timer(Timer::SlowRequest(id))),
+            Due::Answer(request, endpoint, attempt) => self.answer(request, endpoint, attempt),
             Due::Change(row) => self.list_changes(row),
         }
     }
@@ -110,33 +110,41 @@
         self.next_request += 1;
         let (class, tenant) = (ClassId(0), None);
         self.at(Duration::from_secs(1) / CALLS_PER_SECOND, Due::Call);
-        self.handle(Event::Request { request, class, tenant, left: DEADLINE, hint: None, repeat: false });
+        self.handle(Event::Request {
+            request,
+            class,
+            tenant,
+            time_left: DEADLINE,
+            work_hint: None,
+            client_retry: false,
+        });
     }
 
-    fn answer(&mut self, request: RequestId, upstream: UpstreamId, attempt: u32) {
+    fn answer(&mut self, request: RequestId, endpoint: EndpointId, attempt: u32) {
         self.attempts.remove(&request);
         let inflight = Some((request.0 % 5) as f64);
         self.handle(Event::Outcome {
             request,
             attempt,
-            upstream,
-            closed: true,
+            endpoint,
+            finished: true,
             outcome: Outcome::Ok,
             latency: LATENCY,
-            report: Some(Report { inflight, queue: Some(0.0), ..Report::default() }),
+            report: Some(LoadReport { inflight, queue: Some(0.0), ..LoadReport::default() }),
         });
     }
 
     /// A stretch of the list drains, and is ready again at the next change.
     fn list_changes(&mut self, row: u32) {
-        let state = if self.change.is_multiple_of(2) { State::Draining } else { State::Ready };
+        let state =
+            if self.change.is_multiple_of(2) { EndpointState::Draining } else { EndpointState::Ready };
         let first = self.change / 2 * CHANGED % self.rows;
         let changed = |row: u32| entry((first + row) % self.rows, state);
         let entries = match self.changes {
             Changes::OneByOne => vec![changed(row)],
             _ => (0..CHANGED).map(changed).collect(),
         };
-        self.handle(Event::Members { scope: ListScope::Changes, entries });
+        self.handle(Event::EndpointList { scope: ListScope::Changes, entries });
         if self.changes == Changes::OneByOne && row + 1 < CHANGED {
             self.at(Duration::from_millis(5), Due::Change(row + 1));
         } else {
@@ -151,15 +159,15 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
             match action {
-                Action::Send { request, upstream, .. } => {
+                Action::Send { request, endpoint, .. } => {
                     let attempts = self.attempts.entry(*request).or_insert(0);
                     let attempt = *attempts;
                     *attempts += 1;
                     self.sent += 1;
-                    self.at(LATENCY, Due::Answer(*request, *upstream, attempt));
+                    self.at(LATENCY, Due::Answer(*request, *endpoint, attempt));
                 }
                 Action::SetTimer { after, timer: Timer::Refresh } => self.at(*after, Due::Refresh),
-                Action::SetTimer { after, timer: Timer::Request(id) } => self.at(*after, Due::Late(*id)),
+                Action::SetTimer { after, timer: Timer::SlowRequest(id) } => self.at(*after, Due::Late(*id)),
                 _ => {}
             }
         }
@@ -167,8 +175,8 @@
     }
 }
 
-fn entry(id: u32, state: State) -> Member {
+fn entry(id: u32, state: EndpointState) -> EndpointEntry {
     let key = u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let (cell, zone) = (CellId(id as usize % 2), ZoneId(0));
-    Member { upstream: UpstreamId(id), key, cell, zone, started: None, state, weight: 1.0 }
+    EndpointEntry { endpoint: EndpointId(id), key, cell, zone, started: None, state, weight: 1.0 }
 }
--- a/crates/module/benches/support/mod.rs
+++ b/crates/module/benches/support/mod.rs
@@ -30,7 +30,7 @@
         let mut caller = Caller { balancer, now, next_request: 0, actions: Vec::new() };
         caller.handle(Event::Start);
         let entries = (0..rows).map(entry).collect();
-        caller.handle(Event::Members { scope: ListScope::Complete, entries });
+        caller.handle(Event::EndpointList { scope: ListScope::Complete, entries });
         caller.refresh();
         for _ in 0..2 * rows {
             caller.call();
@@ -51,22 +51,29 @@
         let request = RequestId(self.next_request);
         self.next_request += 1;
         let (class, tenant) = (ClassId(0), None);
-        self.handle(Event::Request { request, class, tenant, left: DEADLINE, hint: None, repeat: false });
+        self.handle(Event::Request {
+            request,
+            class,
+            tenant,
+            time_left: DEADLINE,
+            work_hint: None,
+            client_retry: false,
+        });
         let sent = self.actions.iter().find_map(|action| match action {
-            Action::Send { upstream, .. } => Some(*upstream),
+            Action::Send { endpoint, .. } => Some(*endpoint),
             _ => None,
         });
-        let Some(upstream) = sent else { return false };
+        let Some(endpoint) = sent else { return false };
         self.now += LATENCY;
         let inflight = Some((request.0 % 5) as f64);
         self.handle(Event::Outcome {
             request,
             attempt: 0,
-            upstream,
-            closed: true,
+            endpoint,
+            finished: true,
             outcome: Outcome::Ok,
             latency: LATENCY,
-            report: Some(Report { inflight, queue: Some(0.0), ..Report::default() }),
+            report: Some(LoadReport { inflight, queue: Some(0.0), ..LoadReport::default() }),
         });
         true
     }
@@ -77,14 +84,14 @@
     }
 }
 
-fn entry(id: u32) -> Member {
-    Member {
-        upstream: UpstreamId(id),
+fn entry(id: u32) -> EndpointEntry {
+    EndpointEntry {
+        endpoint: EndpointId(id),
         key: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         cell: CellId(0),
         zone: ZoneId(id as usize % ZONES),
         started: None,
-        state: State::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
     }
 }
--- a/crates/module/src/interface.rs
+++ b/crates/module/src/interface.rs
@@ -10,9 +10,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// An upstream; a small integer, given out in order of first sight.
+/// An endpoint; a small integer, given out in order of first sight.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct UpstreamId(pub u32);
+pub struct EndpointId(pub u32);
 
 /// A position in [`Settings::classes`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -26,16 +26,16 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ZoneId(pub usize);
 
-/// A set of upstreams that share which keys they have seen.
+/// A set of endpoints that share which keys they have seen.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct CellId(pub usize);
 
-/// Which upstreams discard repeats of a keyed request.
+/// Which endpoints discard repeats of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All upstreams.
+    /// All endpoints.
     All,
-    /// Those in the zone of the upstream that may have run it.
+    /// Those in the zone of the endpoint that may have run it.
     Zone,
     /// Those in its cell.
     Cell,
@@ -46,7 +46,7 @@
 pub enum Effect {
     /// Nothing: it may be repeated freely.
     Safe,
-    /// Upstreams within `scope` drop a repeat for `window` after the first send that may have run.
+    /// Endpoints within `scope` drop a repeat for `window` after the first send that may have run.
     Keyed {
         /// Who drops it.
         scope: DedupScope,
@@ -59,17 +59,17 @@
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// An answer within this time has the full worth.
-    pub aim: Duration,
+    pub target_latency: Duration,
     /// If set, the aim grows by this multiple of the request's own work, up to the deadline.
-    pub aim_stretch: f64,
+    pub target_latency_work_factor: f64,
     /// How long a client waits in all.
     pub deadline: Duration,
     /// Whether it may run again.
     pub effect: Effect,
     /// Worth of one request (or of a unit of its work).
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth that is left after the aim.
     pub late_value: f64,
 }
@@ -89,7 +89,7 @@
     /// [`Action::Probe`] is permitted.
     pub probes: bool,
     /// Two attempts of a request may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Attempts of one request.
     pub max_attempts: u32,
     /// Refusals may carry advice on when to come again.
@@ -101,38 +101,38 @@
 /// The figures of the four rules.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rules {
-    /// A fresh upstream has at least this fraction of its capacity.
-    pub cold_from: f64,
+    /// A fresh endpoint has at least this fraction of its capacity.
+    pub cold_capacity: f64,
     /// And all of it after this time.
     pub ramp: Duration,
     /// Sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ... for this long, it falls over.
-    pub fall_after: Duration,
-    /// Time within which sends to a draining upstream cease.
+    pub overload_after: Duration,
+    /// Time within which sends to a draining endpoint cease.
     pub drain_grace: Duration,
     /// Where [`Discovery::Subscribe`]: ask again within this time.
-    pub ask_within: Duration,
-    /// If set, idle connections to a draining upstream are closed within this time of the notice or, if
+    pub resubscribe_within: Duration,
+    /// If set, idle connections to a draining endpoint are closed within this time of the notice or, if
     /// later, of the last send or outcome there.
-    pub let_go: Option<Duration>,
+    pub close_idle_within: Option<Duration>,
     /// If set, attempts beyond each request's first are rationed.
     pub retry_budget: Option<RetryBudget>,
-    /// Only an upstream that was listed as draining is barred; one that is listed as gone, or left out of
+    /// Only an endpoint that was listed as draining is barred; one that is listed as gone, or left out of
     /// the list, without having drained may still be sent to.
-    pub drain_binds_alone: bool,
+    pub use_removed_endpoints: bool,
 }
 
-/// How many attempts beyond each request's first a balancer may make within any `look_back`: `free` of them,
+/// How many attempts beyond each request's first a balancer may make within any `window`: `free` of them,
 /// and `ratio` for each request that it took in that time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
     /// Permitted however light the traffic is.
-    pub free: f64,
+    pub min_retries: f64,
     /// Permitted on top for each request taken.
     pub ratio: f64,
     /// The stretch of time over which both are counted.
-    pub look_back: Duration,
+    pub window: Duration,
 }
 
 /// What the host charges, in fractions of the result.
@@ -140,7 +140,7 @@
 pub struct Prices {
     /// A probe, per first try.
     pub probe: f64,
-    /// Wasted upstream work, as a fraction of the work offered.
+    /// Wasted endpoint work, as a fraction of the work offered.
     pub waste: f64,
     /// An attempt into another zone, per first try.
     pub cross_zone: f64,
@@ -150,14 +150,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportSource {
     /// With outcomes and probe results.
-    Answers,
+    Responses,
     /// With probe results alone.
     Probes,
     /// From nowhere.
     None,
 }
 
-/// How lists of upstreams come.
+/// How lists of endpoints come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Discovery {
     /// By themselves.
@@ -166,12 +166,12 @@
     Subscribe,
 }
 
-/// What [`Member::weight`] means.
+/// What [`EndpointEntry::weight`] means.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WeightKind {
     /// Nothing.
     None,
-    /// The size of the upstream, exactly or about.
+    /// The size of the endpoint, exactly or about.
     Size,
     /// The size divided by 1 + requests held per core, some time ago.
     Live,
@@ -193,15 +193,15 @@
     /// How many zones there are.
     pub zones: usize,
     /// A call between tiers carries the time its caller has left.
-    pub passes_deadline: bool,
+    pub propagates_deadline: bool,
     /// The least time between two turns of the host.
-    pub step: Duration,
+    pub host_tick: Duration,
     /// Request classes.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a request over its tenant's share, as a fraction.
-    pub over_share_worth: f64,
+    pub over_quota_value: f64,
     /// What is permitted.
     pub limits: Limits,
     /// Figures of the four rules.
@@ -253,8 +253,8 @@
             return bad("limits.max_attempts", "must be at least 1");
         }
         for class in &self.classes {
-            if class.aim.is_zero() {
-                return bad("classes.aim", "must be positive");
+            if class.target_latency.is_zero() {
+                return bad("classes.target_latency", "must be positive");
             }
             if class.deadline.is_zero() {
                 return bad("classes.deadline", "must be positive");
@@ -262,15 +262,15 @@
         }
         let per_class = self.classes.iter().flat_map(|c| {
             [
-                ("classes.worth", c.worth),
+                ("classes.value", c.value),
                 ("classes.late_value", c.late_value),
-                ("classes.aim_stretch", c.aim_stretch),
+                ("classes.target_latency_work_factor", c.target_latency_work_factor),
             ]
         });
         let figures = [
-            ("over_share_worth", self.over_share_worth),
-            ("rules.cold_from", self.rules.cold_from),
-            ("rules.fall_multiple", self.rules.fall_multiple),
+            ("over_quota_value", self.over_quota_value),
+            ("rules.cold_capacity", self.rules.cold_capacity),
+            ("rules.overload_factor", self.rules.overload_factor),
             ("prices.probe", self.prices.probe),
             ("prices.waste", self.prices.waste),
             ("prices.cross_zone", self.prices.cross_zone),
@@ -281,45 +281,47 @@
                 return bad(field, "must be finite and not negative");
             }
         }
-        if self.rules.let_go.is_some_and(|time| time < self.step * 2) {
-            return bad("rules.let_go", "must be at least two steps of the host");
+        if self.rules.close_idle_within.is_some_and(|time| time < self.host_tick * 2) {
+            return bad("rules.close_idle_within", "must be at least two steps of the host");
         }
         if let Some(budget) = self.rules.retry_budget {
-            let figures =
-                [("rules.retry_budget.free", budget.free), ("rules.retry_budget.ratio", budget.ratio)];
+            let figures = [
+                ("rules.retry_budget.min_retries", budget.min_retries),
+                ("rules.retry_budget.ratio", budget.ratio),
+            ];
             for (field, figure) in figures {
                 if !figure.is_finite() || figure < 0.0 {
                     return bad(field, "must be finite and not negative");
                 }
             }
-            if budget.look_back.is_zero() {
-                return bad("rules.retry_budget.look_back", "must be positive");
+            if budget.window.is_zero() {
+                return bad("rules.retry_budget.window", "must be positive");
             }
         }
-        if self.rules.cold_from > 1.0 {
-            return bad("rules.cold_from", "must be at most 1");
+        if self.rules.cold_capacity > 1.0 {
+            return bad("rules.cold_capacity", "must be at most 1");
         }
         Ok(())
     }
 }
 
-/// Whether an upstream takes requests.
+/// Whether an endpoint takes requests.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum EndpointState {
     /// It does.
     #[default]
     Ready,
     /// It completes its work and takes nothing new.
     Draining,
     /// It is removed.
-    Gone,
+    Removed,
 }
 
-/// An entry of the list of upstreams.
+/// An entry of the list of endpoints.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct Member {
-    /// Which upstream.
-    pub upstream: UpstreamId,
+pub struct EndpointEntry {
+    /// Which endpoint.
+    pub endpoint: EndpointId,
     /// A hash of its name, the same at every balancer.
     pub key: u64,
     /// Its cell.
@@ -329,7 +331,7 @@
     /// When it last started; `None` is long ago.
     pub started: Option<Time>,
     /// Its state.
-    pub state: State,
+    pub state: EndpointState,
     /// Its weight, see [`WeightKind`].
     pub weight: f64,
 }
@@ -342,12 +344,12 @@
     /// Every entry; what is absent is gone.
     Complete,
     /// The complete list as last held before a restart, possibly stale.
-    Remembered,
+    Restored,
 }
 
-/// A load report: what an upstream says of itself.
+/// A load report: what an endpoint says of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests it holds.
     pub inflight: Option<f64>,
     /// Requests that wait in it.
@@ -367,10 +369,10 @@
 pub enum Outcome {
     /// Served.
     Ok,
-    /// The upstream answered with an error; it may have run.
+    /// The endpoint answered with an error; it may have run.
     Error,
     /// Rejected unexamined; it never ran.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or may still run.
     Timeout,
     /// No connection in time; it never ran.
@@ -380,13 +382,13 @@
     /// Withdrawn; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether this proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
@@ -398,16 +400,16 @@
     /// Subscribe to discovery again.
     Subscribe,
     /// Look at a request that is still out.
-    Request(RequestId),
+    SlowRequest(RequestId),
 }
 
-/// How far the list of upstreams can be relied on, counted from the event that tells it.
+/// How far the list of endpoints can be relied on, counted from the event that tells it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Trust {
-    /// No upstream that is listed as ready drains unheard for so long.
-    pub list_for: Duration,
+pub struct ListValidity {
+    /// No endpoint that is listed as ready drains unheard for so long.
+    pub list_valid_for: Duration,
     /// After that, one that took a request is ready for so long after the send.
-    pub accepted_for: Duration,
+    pub accepted_valid_for: Duration,
 }
 
 /// What a balancer hears.
@@ -416,16 +418,16 @@
     /// It has just started. Comes first, once.
     Start,
     /// News of the list.
-    Members {
+    EndpointList {
         /// What the entries are.
         scope: ListScope,
         /// The entries.
-        entries: Vec<Member>,
+        entries: Vec<EndpointEntry>,
     },
     /// How far the list can be relied on from now on; none, and before any is told: without end.
-    Trust(Option<Trust>),
+    ListValidity(Option<ListValidity>),
     /// A discovery call failed or the subscription broke.
-    DiscoveryRefused,
+    DiscoveryFailed,
     /// A request has come; it is owed one final answer.
     Request {
         /// Which.
@@ -435,11 +437,11 @@
         /// Its tenant, where there are any.
         tenant: Option<TenantId>,
         /// Time until its client gives up.
-        left: Duration,
+        time_left: Duration,
         /// Work it is expected to take.
-        hint: Option<Duration>,
+        work_hint: Option<Duration>,
         /// Its client says that it is not its first try.
-        repeat: bool,
+        client_retry: bool,
     },
     /// A streamed answer has started: it now belongs to the client.
     FirstByte {
@@ -455,37 +457,37 @@
         /// Which attempt, counted from 0.
         attempt: u32,
         /// Where it went.
-        upstream: UpstreamId,
+        endpoint: EndpointId,
         /// The request is finished.
-        closed: bool,
+        finished: bool,
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
         latency: Duration,
-        /// The upstream's report, if one came along.
-        report: Option<Report>,
+        /// The endpoint's report, if one came along.
+        report: Option<LoadReport>,
     },
-    /// New settings are in force. What was learned of upstreams stays.
-    Retune {
+    /// New settings are in force. What was learned of endpoints stays.
+    SettingsChanged {
         /// All of them.
         settings: Box<Settings>,
         /// For each class, the earlier one whose figures it continues.
-        from: Vec<Option<ClassId>>,
+        previous_classes: Vec<Option<ClassId>>,
     },
     /// The client has left; nothing is owed.
-    Withdrawn(RequestId),
+    ClientDisconnected(RequestId),
     /// A timer is due.
     Timer(Timer),
     /// A probe has ended.
     Probed {
-        /// Which upstream.
-        upstream: UpstreamId,
+        /// Which endpoint.
+        endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
         latency: Duration,
-        /// The upstream's report, if one came along.
-        report: Option<Report>,
+        /// The endpoint's report, if one came along.
+        report: Option<LoadReport>,
     },
 }
 
@@ -497,12 +499,12 @@
         /// Of which request.
         request: RequestId,
         /// Where.
-        upstream: UpstreamId,
+        endpoint: EndpointId,
         /// It is given up after this time.
         timeout: Duration,
     },
     /// Final answer: rejected, a further try is harmless.
-    Refuse {
+    Reject {
         /// Which request.
         request: RequestId,
         /// Advice to stay away for so long.
@@ -524,10 +526,10 @@
         /// What for.
         timer: Timer,
     },
-    /// Ask an upstream for its load.
-    Probe(UpstreamId),
-    /// Close the idle connections to an upstream.
-    Close(UpstreamId),
+    /// Ask an endpoint for its load.
+    Probe(EndpointId),
+    /// Close the idle connections to an endpoint.
+    CloseIdle(EndpointId),
     /// Subscribe to changes of the list.
     Subscribe,
 }
@@ -542,39 +544,39 @@
             tiers: 1,
             zone: ZoneId(0),
             zones: 1,
-            passes_deadline: true,
-            step: Duration::from_millis(1),
-            classes: vec![Class {
-                aim: Duration::from_millis(500),
-                aim_stretch: 0.0,
+            propagates_deadline: true,
+            host_tick: Duration::from_millis(1),
+            classes: vec![RequestClass {
+                target_latency: Duration::from_millis(500),
+                target_latency_work_factor: 0.0,
                 deadline: Duration::from_secs(2),
                 effect: Effect::Safe,
-                worth: 1.0,
+                value: 1.0,
                 late_value: 0.5,
             }],
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_value: 1.0,
             limits: Limits {
                 cancel: true,
                 probes: true,
-                second_copies: true,
+                hedging: true,
                 max_attempts: 4,
                 retry_after: true,
                 max_retry_after: Duration::from_secs(1),
             },
             rules: Rules {
-                cold_from: 0.3,
+                cold_capacity: 0.3,
                 ramp: Duration::from_secs(8),
-                fall_multiple: 2.5,
-                fall_after: Duration::from_secs(2),
+                overload_factor: 2.5,
+                overload_after: Duration::from_secs(2),
                 drain_grace: Duration::from_millis(500),
-                ask_within: Duration::from_secs(10),
-                let_go: None,
+                resubscribe_within: Duration::from_secs(10),
+                close_idle_within: None,
                 retry_budget: None,
-                drain_binds_alone: false,
+                use_removed_endpoints: false,
             },
             prices: Prices { probe: 0.01, waste: 0.05, cross_zone: 0.01 },
-            reports: ReportSource::Answers,
+            reports: ReportSource::Responses,
             discovery: Discovery::Push,
             weights: WeightKind::Size,
         }
--- a/crates/module/src/lib.rs
+++ b/crates/module/src/lib.rs
@@ -11,27 +11,27 @@
 //! let mut actions = Vec::new();
 //! let now = Duration::from_secs(1);
 //! balancer.handle(now, Event::Start, &mut actions);
-//! let member = Member {
-//!     upstream: UpstreamId(0),
+//! let entry = EndpointEntry {
+//!     endpoint: EndpointId(0),
 //!     key: 0,
 //!     cell: CellId(0),
 //!     zone: ZoneId(0),
 //!     started: None,
-//!     state: State::Ready,
+//!     state: EndpointState::Ready,
 //!     weight: 1.0,
 //! };
-//! balancer.handle(now, Event::Members { scope: ListScope::Complete, entries: vec![member] }, &mut actions);
+//! balancer.handle(now, Event::EndpointList { scope: ListScope::Complete, entries: vec![entry] }, &mut actions);
 //! actions.clear();
 //! let request = Event::Request {
 //!     request: RequestId(1),
 //!     class: ClassId(0),
 //!     tenant: None,
-//!     left: Duration::from_secs(1),
-//!     hint: None,
-//!     repeat: false,
+//!     time_left: Duration::from_secs(1),
+//!     work_hint: None,
+//!     client_retry: false,
 //! };
 //! balancer.handle(now, request, &mut actions);
-//! assert!(matches!(actions[0], Action::Send { upstream: UpstreamId(0), .. }));
+//! assert!(matches!(actions[0], Action::Send { endpoint: EndpointId(0), .. }));
 //! # Ok::<(), SettingsError>(())
 //! ```
 #![forbid(unsafe_code)]
--- a/crates/module/src/policy.rs
+++ b/crates/module/src/policy.rs
@@ -1,22 +1,22 @@
 //! Every decision of the balancer; its whole interface (settings, ids, events) is src/interface.rs.
 //!
-//! The ordinary path is JSQ-RR: at each refresh the ready upstreams are sorted by last reported load
+//! The ordinary path is JSQ-RR: at each refresh the ready endpoints are sorted by last reported load
 //! ([`snapshot`]), and until the next refresh calls walk that list round robin ([`walk`]). A row's pace says
 //! in what share of the laps it is visited; health, size and coldness act through the pace alone.
 //!
 //! | module | its job |
 //! | --- | --- |
-//! | [`table`] | what is known of each upstream, and the lists that change it |
+//! | [`table`] | what is known of each endpoint, and the lists that change it |
 //! | [`subset`] | the part of the list that this balancer walks, and how often it leaves its own zone |
 //! | [`snapshot`] | the ranking of the rows and the pace of each |
 //! | [`walk`] | the row that a request goes to |
 //! | [`trust`] | which rows may be sent to while the list is not confirmed |
-//! | [`slow_start`] | what a cold upstream may be sent |
+//! | [`slow_start`] | what a cold endpoint may be sent |
 //! | [`request`] | the attempts of a request and its one final answer |
 //! | [`admission`] | what is refused at once |
 //! | [`hedging`] | what is done about a request that is out for unusually long |
 //! | [`retry_budget`] | how many attempts beyond the first are permitted |
-//! | [`health`] | what outcomes and reports tell of an upstream |
+//! | [`health`] | what outcomes and reports tell of an endpoint |
 //! | [`probing`] | reports that are asked for |
 //! | [`rate`] | rates that fade with time |
 
@@ -41,7 +41,7 @@
 use slow_start::WarmCalls;
 use std::collections::BTreeMap;
 use subset::ABROAD;
-use table::{Table, Upstream};
+use table::{Endpoint, Table};
 use trust::ListTrust;
 
 /// The decisions of one balancer.
@@ -51,7 +51,7 @@
     rng: fastrand::Rng,
     /// All that are listed, and for a while what is gone.
     table: Table,
-    /// The snapshot: places of ready upstreams, shortest reported load first.
+    /// The snapshot: places of ready endpoints, shortest reported load first.
     rows: Vec<usize>,
     cursor: usize,
     /// Own calls out to the rows. They are whole, so adding and taking away one by one is exact.
@@ -61,7 +61,7 @@
     requests: BTreeMap<RequestId, Request>,
     tracks: Vec<Track>,
     tenants: Vec<Rate>,
-    /// Above so much silence an upstream is passed over for a class.
+    /// Above so much silence an endpoint is passed over for a class.
     usual_silent: Vec<f64>,
     calls: Rate,
     ends: Rate,
@@ -93,8 +93,8 @@
         settings.validate()?;
         let longest = settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
         let memory = longest.max(settings.rules.ramp);
-        let mean_aim =
-            settings.classes.iter().map(|c| c.aim.as_secs_f64()).sum::<f64>() / settings.classes.len() as f64;
+        let mean_aim = settings.classes.iter().map(|c| c.target_latency.as_secs_f64()).sum::<f64>()
+            / settings.classes.len() as f64;
         let rate = Rate::new(secs(2.0 * mean_aim), Time::ZERO);
         Ok(Balancer {
             rng: fastrand::Rng::with_seed(seed),
@@ -140,32 +140,34 @@
     fn take(&mut self, now: Time, event: Event) {
         match event {
             Event::Start => self.start(now),
-            Event::Members { scope, entries } => self.members(now, scope, &entries),
-            Event::Retune { settings, from } => self.retune(*settings, &from),
-            Event::Trust(trust) => self.trust.told(now, trust),
-            Event::DiscoveryRefused => self.discovery_refused(),
-            Event::Request { request: id, class, tenant, left, hint, repeat } => {
-                let request = self.new_request(now, class, left, repeat);
-                self.request(now, id, request, tenant, hint);
+            Event::EndpointList { scope, entries } => self.members(now, scope, &entries),
+            Event::SettingsChanged { settings, previous_classes } => {
+                self.retune(*settings, &previous_classes)
+            }
+            Event::ListValidity(trust) => self.trust.told(now, trust),
+            Event::DiscoveryFailed => self.discovery_refused(),
+            Event::Request { request: id, class, tenant, time_left, work_hint, client_retry } => {
+                let request = self.new_request(now, class, time_left, client_retry);
+                self.request(now, id, request, tenant, work_hint);
             }
             Event::FirstByte { request, .. } => {
                 if let Some(request) = self.requests.get_mut(&request) {
                     request.streaming = true;
                 }
             }
-            Event::Outcome { request, attempt, upstream, closed, outcome, latency, report } => {
-                self.report(now, upstream, report);
-                self.judge(now, request, upstream, outcome, latency);
-                self.note_accepted(now, upstream, outcome, latency);
-                self.let_go(upstream);
-                self.outcome(now, request, attempt, closed, outcome);
+            Event::Outcome { request, attempt, endpoint, finished, outcome, latency, report } => {
+                self.report(now, endpoint, report);
+                self.judge(now, request, endpoint, outcome, latency);
+                self.note_accepted(now, endpoint, outcome, latency);
+                self.let_go(endpoint);
+                self.outcome(now, request, attempt, finished, outcome);
             }
-            Event::Withdrawn(id) => self.withdrawn(now, id),
+            Event::ClientDisconnected(id) => self.withdrawn(now, id),
             Event::Timer(Timer::Refresh) => self.refresh(now),
             Event::Timer(Timer::Subscribe) => self.actions.push(Action::Subscribe),
-            Event::Timer(Timer::Request(id)) => self.hedge(now, id),
-            Event::Probed { upstream, outcome, latency: _, report } => {
-                self.probed(now, upstream, outcome, report);
+            Event::Timer(Timer::SlowRequest(id)) => self.hedge(now, id),
+            Event::Probed { endpoint, outcome, latency: _, report } => {
+                self.probed(now, endpoint, outcome, report);
             }
         }
     }
@@ -181,21 +183,21 @@
         if self.settings.discovery == Discovery::Subscribe {
             self.actions.push(Action::Subscribe);
         }
-        self.actions.push(Action::SetTimer { after: self.settings.step, timer: Timer::Refresh });
+        self.actions.push(Action::SetTimer { after: self.settings.host_tick, timer: Timer::Refresh });
     }
 
     fn discovery_refused(&mut self) {
         // Danger: all balancers ask again at once and fail again, so the wait grows and is spread.
         // Danger: on sockets news counts as told after 6 s where a call may be made within 10.
-        let most = self.settings.rules.ask_within.as_secs_f64().min(30.0) / 4.0;
+        let most = self.settings.rules.resubscribe_within.as_secs_f64().min(30.0) / 4.0;
         let wait = (0.2 * most * 2f64.powi(self.refused_lists.min(10) as i32)).min(most);
         self.refused_lists += 1;
         let after = secs(wait * (0.5 + self.rng.f64()));
         self.actions.push(Action::SetTimer { after, timer: Timer::Subscribe });
     }
 
-    /// How many upstreams it keeps account of.
-    pub fn listed(&self) -> usize {
+    /// How many endpoints it keeps account of.
+    pub fn endpoint_count(&self) -> usize {
         self.table.ids.len()
     }
 
@@ -209,17 +211,17 @@
             (0..settings.classes.len()).map(of).collect()
         };
         self.usual_silent = follow(&self.usual_silent, 0.9);
-        self.table.upstreams.iter_mut().for_each(|up| up.silent = follow(&up.silent, 0.0));
+        self.table.endpoints.iter_mut().for_each(|up| up.silent = follow(&up.silent, 0.0));
         self.tenants.resize(settings.tenants.len(), Rate::new(secs(self.memory), self.began));
         self.retries.retune(&settings, secs(self.memory));
         self.settings = settings;
         self.rows_size = self.size_of_rows();
     }
 
-    /// How many listed upstreams are passed over now: they drain, can't be reached, or fail or are slow.
-    pub fn avoided(&self, now: Time) -> usize {
-        let alone = self.settings.rules.drain_binds_alone;
-        let out = |up: &Upstream| up.probation || up.unreachable(now) || !up.may_be_sent_to(alone);
-        self.table.upstreams.iter().filter(|up| up.member.state != State::Gone && out(up)).count()
+    /// How many listed endpoints are passed over now: they drain, can't be reached, or fail or are slow.
+    pub fn avoided_count(&self, now: Time) -> usize {
+        let alone = self.settings.rules.use_removed_endpoints;
+        let out = |up: &Endpoint| up.probation || up.unreachable(now) || !up.may_be_sent_to(alone);
+        self.table.endpoints.iter().filter(|up| up.member.state != EndpointState::Removed && out(up)).count()
     }
 }
--- a/crates/module/src/policy/admission.rs
+++ b/crates/module/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: which requests are refused at once, as they would be late or crowd the upstreams.
+//! Admission: which requests are refused at once, as they would be late or crowd the endpoints.
 
 use super::Balancer;
 use super::rate::fade;
@@ -33,22 +33,22 @@
 
     /// Above 1 a request is better refused now than late. What is out over what ends a second is the time it
     /// takes (Little's law). A class is refused when that is several times what it takes uncrowded, or beyond
-    /// its aim, low worth first. Danger: upstreams that hold far more than they have cores slow down and stay
+    /// its aim, low worth first. Danger: endpoints that hold far more than they have cores slow down and stay
     /// slow. Inner tiers don't shed: what they refuse has cost the tier above its work.
     pub(super) fn pressure(&self, now: Time, class: usize, over_share: bool) -> f64 {
-        let aim = self.settings.classes[class].aim;
+        let aim = self.settings.classes[class].target_latency;
         let seen: f64 = self.tracks.iter().map(|t| t.answers).sum();
         if self.settings.tier > 0 || seen < 0.5 * EVIDENCE {
             return 0.0;
         }
-        let best = self.settings.classes.iter().map(|c| c.worth).fold(1e-9, f64::max);
-        let over = if over_share { self.settings.over_share_worth } else { 1.0 };
-        let worth = self.settings.classes[class].worth / best * over;
+        let best = self.settings.classes.iter().map(|c| c.value).fold(1e-9, f64::max);
+        let over = if over_share { self.settings.over_quota_value } else { 1.0 };
+        let worth = self.settings.classes[class].value / best * over;
         let usual = self.tracks.iter().map(|t| t.floor * t.answers).sum::<f64>() / seen;
         let time = (self.requests.len() as f64 + EVIDENCE)
             / (self.ends.get(now) + EVIDENCE / (usual * self.recent.max(0.1)));
         // A queue gathers in one tier, which has but its part of the time. Danger: one that starts into an
-        // overload would crowd every upstream before it learns any rate.
+        // overload would crowd every endpoint before it learns any rate.
         let slow_start = 1.0 - 0.3 * fade(self.began, now, self.memory);
         // Danger: in a chain a crowded inner tier holds the slots of the tiers above, and what has choked
         // stays slow long after; so the more tiers, the earlier work is shed.
@@ -64,7 +64,7 @@
         let timely = timely * (1.0 - lasting * (0.6 - sure));
         let limit =
             (punctual * usual).min((timely * (0.7 + 0.5 * worth)).max(usual * (CROWDED + 0.65 * worth)));
-        // Danger: where queues are short, full upstreams turn all classes away alike before times rise.
+        // Danger: where queues are short, full endpoints turn all classes away alike before times rise.
         let full = self.full / (0.1 + 0.9 * worth);
         // Danger: the last answers before a refusal of all are the slow ones and would keep it up, as no
         // others follow; who has this little out crowds nobody, whatever they took.
--- a/crates/module/src/policy/health.rs
+++ b/crates/module/src/policy/health.rs
@@ -1,9 +1,9 @@
-//! Health: what outcomes and load reports tell of an upstream, and of the times that classes take.
+//! Health: what outcomes and load reports tell of an endpoint, and of the times that classes take.
 
 use super::Balancer;
 use super::admission::EVIDENCE;
 use super::rate::{fade, secs};
-use super::table::Upstream;
+use super::table::Endpoint;
 use crate::interface::*;
 use std::time::Duration;
 
@@ -12,51 +12,51 @@
     pub(super) fn probed(
         &mut self,
         now: Time,
-        upstream: UpstreamId,
+        endpoint: EndpointId,
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
-        self.report(now, upstream, report);
+        self.report(now, endpoint, report);
         let lost = matches!(outcome, Outcome::ConnectFailed | Outcome::Reset);
-        if let (true, Some(up)) = (lost, self.upstream_mut(upstream)) {
+        if let (true, Some(up)) = (lost, self.endpoint_mut(endpoint)) {
             up.ended += 1.0;
             up.failed += 1.0;
         }
     }
 
-    /// Takes over the load that an upstream reports.
-    pub(super) fn report(&mut self, now: Time, id: UpstreamId, report: Option<Report>) {
+    /// Takes over the load that an endpoint reports.
+    pub(super) fn report(&mut self, now: Time, id: EndpointId, report: Option<LoadReport>) {
         let Some(report) = report else { return };
-        self.upstream_mut(id).into_iter().for_each(|up| up.heard = now);
+        self.endpoint_mut(id).into_iter().for_each(|up| up.heard = now);
         let load = match (report.inflight, report.queue) {
             (None, None) => report.utilization,
             (inflight, queue) => Some(inflight.unwrap_or(0.0) + queue.unwrap_or(0.0)),
         };
-        if let (Some(load), Some(up)) = (load.filter(|l| l.is_finite()), self.upstream_mut(id)) {
+        if let (Some(load), Some(up)) = (load.filter(|l| l.is_finite()), self.endpoint_mut(id)) {
             up.load = Some((load.max(0.0), now));
         }
     }
 
-    /// Books how an attempt ended to its class and its upstream.
+    /// Books how an attempt ended to its class and its endpoint.
     pub(super) fn judge(
         &mut self,
         now: Time,
         id: RequestId,
-        upstream: UpstreamId,
+        endpoint: EndpointId,
         outcome: Outcome,
         latency: Duration,
     ) {
         let request = self.requests.get(&id).map(|r| (r.class, r.size));
         let ratio = request.map_or(1.0, |(class, size)| self.learn_time(now, class, size, outcome, latency));
         let spread = 0.5 + self.rng.f64();
-        let Some(up) = self.table.get_mut(upstream) else { return };
+        let Some(up) = self.table.get_mut(endpoint) else { return };
         up.forget(now, self.memory);
         if up.out >= 1.0 {
             up.out -= 1.0;
             self.rows_out -= f64::from(u8::from(up.walked));
         }
         up.used = now;
-        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
+        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             up.heard = now;
         }
         up.book_connection(now, outcome, self.memory, spread);
@@ -69,15 +69,15 @@
 
     /// Learns what a class takes; returns this attempt's latency over what was expected of it.
     fn learn_time(&mut self, now: Time, class: usize, size: f64, outcome: Outcome, latency: Duration) -> f64 {
-        let aim = self.settings.classes[class].aim;
+        let aim = self.settings.classes[class].target_latency;
         let track = &mut self.tracks[class];
         // Danger: the first answers back are the short ones, or tell of a jam, if it starts in one.
         let early = now.saturating_sub(self.began).as_secs_f64() < 3.0 * track.mean;
         let ratio = (latency.as_secs_f64() / (track.mean * size).max(1e-6)).min(10.0);
-        self.full += (f64::from(u8::from(outcome == Outcome::Full)) - self.full) * 0.05;
+        self.full += (f64::from(u8::from(outcome == Outcome::Rejected)) - self.full) * 0.05;
         // One turned away unexamined tells of crowding, not of time.
-        let taken = if outcome == Outcome::Full { aim } else { latency };
-        if !matches!(outcome, Outcome::ConnectFailed | Outcome::Moot | Outcome::Cancelled) {
+        let taken = if outcome == Outcome::Rejected { aim } else { latency };
+        if !matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent | Outcome::Cancelled) {
             let crowding = (taken.as_secs_f64() / size / track.floor.max(1e-6)).min(5.0);
             let gain = (1.0 - fade(self.answered, now, 2.0 * self.ends.memory)).max(1.0 / EVIDENCE);
             self.recent += (crowding - self.recent) * gain;
@@ -103,7 +103,7 @@
     }
 }
 
-impl Upstream {
+impl Endpoint {
     /// Danger: one that takes no new connection may answer probes and old connections well, and each try
     /// spends scarce budget. For a doubling wait it gets only as many calls as it has connections.
     /// Covers crashes, cut zones and full tables; harms after a chance failure.
@@ -132,7 +132,7 @@
                 self.ended += 1.0;
                 self.slow += ratio;
             }
-            Outcome::Moot | Outcome::Cancelled => {}
+            Outcome::NotSent | Outcome::Cancelled => {}
             _ => {
                 self.ended += 1.0;
                 self.failed += 1.0;
--- a/crates/module/src/policy/probing.rs
+++ b/crates/module/src/policy/probing.rs
@@ -7,7 +7,7 @@
 const SPEND_PROBES: f64 = 0.002;
 
 impl Balancer {
-    /// Probes the upstreams heard from longest ago, within a budget from own calls and the price.
+    /// Probes the endpoints heard from longest ago, within a budget from own calls and the price.
     pub(super) fn probe(&mut self, now: Time) {
         if !self.settings.limits.probes || self.settings.reports != ReportSource::Probes {
             return;
@@ -20,15 +20,15 @@
         if self.probe_budget < 1.0 {
             return;
         }
-        let mut due: Vec<(Option<Time>, UpstreamId)> = self
+        let mut due: Vec<(Option<Time>, EndpointId)> = self
             .rows
             .iter()
-            .map(|&place| (self.table.upstreams[place].probed, self.table.ids[place]))
+            .map(|&place| (self.table.endpoints[place].probed, self.table.ids[place]))
             .collect();
         due.sort_by_key(|d| d.0);
         for (_, id) in due.into_iter().take(self.probe_budget as usize) {
             self.probe_budget -= 1.0;
-            if let Some(up) = self.upstream_mut(id) {
+            if let Some(up) = self.endpoint_mut(id) {
                 up.probed = Some(now);
             }
             self.actions.push(Action::Probe(id));
--- a/crates/module/src/policy/request.rs
+++ b/crates/module/src/policy/request.rs
@@ -8,7 +8,7 @@
 /// One attempt of a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Attempt {
-    pub(super) upstream: UpstreamId,
+    pub(super) endpoint: EndpointId,
     pub(super) sent: Time,
     /// How long its connection had been idle, at most.
     pub(super) idle: f64,
@@ -55,8 +55,8 @@
 
 impl Track {
     /// A class that nothing has been learned of.
-    pub(super) fn new(class: &Class) -> Track {
-        let aim = 0.3 * class.aim.as_secs_f64();
+    pub(super) fn new(class: &RequestClass) -> Track {
+        let aim = 0.3 * class.target_latency.as_secs_f64();
         Track { mean: aim, deviation: aim, floor: aim, answers: 0.0, hint: 0.0 }
     }
 
@@ -73,10 +73,10 @@
 }
 
 /// How long an answer to a request of this class is worth anything. Danger: work that goes on past that
-/// crowds the upstreams for nothing, and makes the next answers late as well.
-fn useful_time(class: &Class) -> Duration {
-    let worthless_when_late = class.late_value <= 0.0 && class.aim_stretch <= 0.0;
-    if worthless_when_late { class.aim.min(class.deadline) } else { class.deadline }
+/// crowds the endpoints for nothing, and makes the next answers late as well.
+fn useful_time(class: &RequestClass) -> Duration {
+    let worthless_when_late = class.late_value <= 0.0 && class.target_latency_work_factor <= 0.0;
+    if worthless_when_late { class.target_latency.min(class.deadline) } else { class.deadline }
 }
 
 impl Balancer {
@@ -125,25 +125,25 @@
     /// Begins an attempt, or ends the request if none can take it.
     fn send(&mut self, now: Time, id: RequestId, mut request: Request) {
         match self.pick(now, &request) {
-            Some(upstream) => {
-                self.attempt(now, id, &mut request, upstream);
+            Some(endpoint) => {
+                self.attempt(now, id, &mut request, endpoint);
                 self.requests.insert(id, request);
             }
             None => self.finish(now, id, request),
         }
     }
 
-    /// Begins an attempt at this upstream.
-    pub(super) fn attempt(&mut self, now: Time, id: RequestId, request: &mut Request, to: UpstreamId) {
+    /// Begins an attempt at this endpoint.
+    pub(super) fn attempt(&mut self, now: Time, id: RequestId, request: &mut Request, to: EndpointId) {
         let timeout = request.deadline.saturating_sub(now);
-        let idle = self.upstream(to).map_or(0.0, |up| now.saturating_sub(up.used).as_secs_f64());
+        let idle = self.endpoint(to).map_or(0.0, |up| now.saturating_sub(up.used).as_secs_f64());
         // Danger: connections may be dropped unseen while idle; what is sent on one gets no answer. One in
         // five that can be repeated still goes on an old one, and shows when that is over.
         let dead = idle > 0.7 * self.dead_after && self.dead_share > 0.3;
         let tests = self.settings.classes[request.class].effect != Effect::Unsafe && self.rng.f64() < 0.2;
         let renewed = dead && !tests;
         if renewed {
-            self.actions.push(Action::Close(to));
+            self.actions.push(Action::CloseIdle(to));
         }
         let idle = if renewed { 0.0 } else { idle };
         if let Some(up) = self.table.get_mut(to) {
@@ -156,13 +156,13 @@
         if !request.attempts.is_empty() && (self.retries.binding || request.may_have_run().is_some()) {
             self.retries.extra.push_back((now, id, request.attempts.len() as u32));
         }
-        request.attempts.push(Attempt { upstream: to, sent: now, idle, out: true, void: false });
-        self.actions.push(Action::Send { request: id, upstream: to, timeout });
+        request.attempts.push(Attempt { endpoint: to, sent: now, idle, out: true, void: false });
+        self.actions.push(Action::Send { request: id, endpoint: to, timeout });
         if request.attempts.len() == 1 {
             let track = &self.tracks[request.class];
             let after = secs((track.mean + 3.0 * track.deviation) * request.size);
             if after * 2 < timeout {
-                self.actions.push(Action::SetTimer { after, timer: Timer::Request(id) });
+                self.actions.push(Action::SetTimer { after, timer: Timer::SlowRequest(id) });
             }
         }
     }
@@ -182,7 +182,7 @@
         if let Some(a) = request.attempts.get_mut(attempt as usize) {
             a.out = false;
             a.void = outcome.never_ran();
-            if outcome == Outcome::Moot {
+            if outcome == Outcome::NotSent {
                 self.retries.extra.retain(|e| (e.1, e.2) != (id, attempt));
             }
             let idle = a.idle;
@@ -223,14 +223,14 @@
         let repeatable = class.effect != Effect::Unsafe || request.may_have_run().is_none();
         let free = (outcome.never_ran() || moved > 0.0) && !self.retries.binding;
         let paid = free || self.retries.allows(now, self.retry_share(request.class).max(moved));
-        // Danger: a request may bring down whatever begins it, and would go on to the next upstream. It
+        // Danger: a request may bring down whatever begins it, and would go on to the next endpoint. It
         // breaks soon after its send, twice or at a client's repeat; what died along has mostly run longer.
         let mean = self.tracks[request.class].mean;
         let age = request.attempts.get(attempt as usize).map_or(now, |a| now.saturating_sub(a.sent));
         let again = request.repeat || request.attempts.len() > 1;
         let suspect = again && outcome == Outcome::Reset && age.as_secs_f64() < 0.5 * (mean * request.size);
         let more = !suspect && (request.attempts.len() as u32) < self.settings.limits.max_attempts;
-        repeatable && paid && more && left > 0.5 * mean && outcome != Outcome::Moot
+        repeatable && paid && more && left > 0.5 * mean && outcome != Outcome::NotSent
     }
 
     /// The final answer to a request that can't be served: a refusal where that is true, else a failure.
@@ -245,10 +245,10 @@
         self.cancel(id, &request);
         if harmless {
             let retry_after = self.settings.limits.retry_after.then(|| {
-                let aim = self.settings.classes[request.class].aim;
+                let aim = self.settings.classes[request.class].target_latency;
                 aim.mul_f64(0.5 + self.rng.f64()).min(self.settings.limits.max_retry_after)
             });
-            self.actions.push(Action::Refuse { request: id, retry_after });
+            self.actions.push(Action::Reject { request: id, retry_after });
         } else {
             self.actions.push(Action::Fail(id));
         }
--- a/crates/module/src/policy/retry_budget.rs
+++ b/crates/module/src/policy/retry_budget.rs
@@ -44,10 +44,10 @@
     /// Drops what lies beyond the look-back.
     pub(super) fn pass(&mut self, now: Time) {
         // A request that reaches the edge counts no more; a further attempt still does at the edge itself.
-        while self.taken.front().is_some_and(|&at| now.saturating_sub(at) >= self.budget.look_back) {
+        while self.taken.front().is_some_and(|&at| now.saturating_sub(at) >= self.budget.window) {
             self.taken.pop_front();
         }
-        while self.extra.front().is_some_and(|e| now.saturating_sub(e.0) > self.budget.look_back) {
+        while self.extra.front().is_some_and(|e| now.saturating_sub(e.0) > self.budget.window) {
             self.extra.pop_front();
         }
     }
@@ -55,7 +55,7 @@
     /// Whether one further attempt fits into this share of the budget.
     pub(super) fn allows(&mut self, now: Time, share: f64) -> bool {
         self.pass(now);
-        let most = self.budget.free + self.budget.ratio * self.taken.len() as f64;
+        let most = self.budget.min_retries + self.budget.ratio * self.taken.len() as f64;
         self.extra.len() as f64 + self.moving + 1.0 <= most * share + 1e-9
     }
 }
@@ -63,16 +63,16 @@
 /// The budget that the settings state, else our own.
 fn budget(settings: &Settings, memory: Duration) -> RetryBudget {
     settings.rules.retry_budget.unwrap_or(RetryBudget {
-        free: RETRY_FREE,
+        min_retries: RETRY_FREE,
         ratio: RETRY_SHARE,
-        look_back: memory,
+        window: memory,
     })
 }
 
 impl Balancer {
     /// The part of the budget that a class may use up: the last of it is kept for the worthiest.
     pub(super) fn retry_share(&self, class: usize) -> f64 {
-        let best = self.settings.classes.iter().map(|c| c.worth).fold(1e-9, f64::max);
-        if self.retries.binding { 0.8 + 0.2 * self.settings.classes[class].worth / best } else { 1.0 }
+        let best = self.settings.classes.iter().map(|c| c.value).fold(1e-9, f64::max);
+        if self.retries.binding { 0.8 + 0.2 * self.settings.classes[class].value / best } else { 1.0 }
     }
 }
--- a/crates/module/src/policy/slow_start.rs
+++ b/crates/module/src/policy/slow_start.rs
@@ -1,18 +1,18 @@
-//! Slow start: what a cold upstream, one that has just started, may be sent.
+//! Slow start: what a cold endpoint, one that has just started, may be sent.
 
 use super::Balancer;
 use super::rate::Rate;
-use super::table::Upstream;
+use super::table::Endpoint;
 use crate::interface::*;
 use std::time::Duration;
 
-/// What warm upstreams are sent is known once so much of its memory has been seen.
+/// What warm endpoints are sent is known once so much of its memory has been seen.
 const LEARNED: f64 = 0.2;
 
-/// What a warm upstream of size 1 is sent by this balancer, by which the allowance of cold ones goes.
+/// What a warm endpoint of size 1 is sent by this balancer, by which the allowance of cold ones goes.
 ///
-/// Danger: a rate that follows a surge at once lets a cold upstream have the multiple of the surge; one that
-/// goes by the warm upstreams of the moment grows as they get fewer; and one that is read from time to time
+/// Danger: a rate that follows a surge at once lets a cold endpoint have the multiple of the surge; one that
+/// goes by the warm endpoints of the moment grows as they get fewer; and one that is read from time to time
 /// makes nothing of calls that are seldom. So the rate has a long memory, each call counts by what was warm
 /// when it came, and the sum has no gaps.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     rate: Rate,
     /// The size that the calls of the moment are shared by; 0 until some is known.
     shared_by: f64,
-    /// While no upstream is warm, the rate from when one was.
+    /// While no endpoint is warm, the rate from when one was.
     held: Option<f64>,
     /// What the rate has added up to so far.
     total: f64,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Calls are shared by upstreams of `warm` in all from now on; where none is warm, as if all of `all`
+    /// Calls are shared by endpoints of `warm` in all from now on; where none is warm, as if all of `all`
     /// were.
     pub(super) fn share(&mut self, now: Time, warm: Option<f64>, all: f64) {
         self.sum(now);
@@ -87,34 +87,34 @@
 }
 
 impl Balancer {
-    /// The fraction of its capacity that an upstream has at least.
-    pub(super) fn warmth(&self, up: &Upstream, now: Time) -> f64 {
+    /// The fraction of its capacity that an endpoint has at least.
+    pub(super) fn warmth(&self, up: &Endpoint, now: Time) -> f64 {
         self.warmth_of(&up.member, now)
     }
 
     /// The same of an entry of the list.
-    pub(super) fn warmth_of(&self, member: &Member, now: Time) -> f64 {
+    pub(super) fn warmth_of(&self, member: &EndpointEntry, now: Time) -> f64 {
         let Some(started) = member.started else { return 1.0 };
         let rules = &self.settings.rules;
         let age = now.saturating_sub(started).as_secs_f64() / rules.ramp.as_secs_f64().max(1e-9);
-        (rules.cold_from + (1.0 - rules.cold_from) * age).clamp(0.05, 1.0)
+        (rules.cold_capacity + (1.0 - rules.cold_capacity) * age).clamp(0.05, 1.0)
     }
 
-    /// Rule 4: a cold upstream may be sent half the rule's multiple of a warm one's, times its warmth.
+    /// Rule 4: a cold endpoint may be sent half the rule's multiple of a warm one's, times its warmth.
     /// Danger: with few others to take the work, the walk alone would push it over.
     pub(super) fn cold_allows(&mut self, now: Time, place: usize) -> bool {
-        let up = &self.table.upstreams[place];
+        let up = &self.table.endpoints[place];
         let warmth = self.warmth(up, now);
         if warmth >= 1.0 {
             return true;
         }
         // Half of what makes it fall: two thirds and chance do. Danger: less leaves all to the few warm ones.
-        let multiple = (self.settings.rules.fall_multiple / 2.0).max(1.0);
+        let multiple = (self.settings.rules.overload_factor / 2.0).max(1.0);
         let share = self.size(up) * warmth * multiple * up.cold_part;
         let rate = self.warm_calls.rate(now) * share;
-        let most = (rate * self.settings.rules.fall_after.as_secs_f64() / 4.0).max(1.0);
+        let most = (rate * self.settings.rules.overload_after.as_secs_f64() / 4.0).max(1.0);
         let total = self.warm_calls.sum(now);
-        let up = &mut self.table.upstreams[place];
+        let up = &mut self.table.endpoints[place];
         up.cold_left = (up.cold_left + (total - up.cold_at) * share).min(most);
         up.cold_at = total;
         up.cold_left >= 1.0
--- a/crates/module/src/policy/snapshot.rs
+++ b/crates/module/src/policy/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot: at each refresh the ready upstreams are sorted by reported load, and each gets its pace.
+//! The snapshot: at each refresh the ready endpoints are sorted by reported load, and each gets its pace.
 
 use super::Balancer;
 use super::rate::{fade, secs};
@@ -6,9 +6,9 @@
 
 /// A row whose health leaves it less than this share of its pace is on probation: repeatable calls only.
 const PROBATION: f64 = 0.3;
-/// The least pace of a row: the trickle by which an ejected upstream shows that it has recovered.
+/// The least pace of a row: the trickle by which an ejected endpoint shows that it has recovered.
 const TRICKLE: f64 = 0.02;
-/// Prior weight, in attempts, of what all upstreams do when one upstream is judged.
+/// Prior weight, in attempts, of what all endpoints do when one endpoint is judged.
 const PRIOR: f64 = 3.0;
 
 /// What a snapshot goes by of one row.
@@ -63,7 +63,7 @@
 fn pace(row: &Row, load: f64, usual: &Usual) -> (f64, bool) {
     // Rows above the level skip laps, by as much as evens the load out within a report's life.
     let lean = (1.0 + (usual.load - load) / usual.arrivals).clamp(0.1, 1.5);
-    // Danger: an upstream that errors at once keeps a short queue and stays high in the list.
+    // Danger: an endpoint that errors at once keeps a short queue and stays high in the list.
     let failed = row.failed(usual.failed) - 2.0 * usual.failed - 0.02;
     let sound = 1.0 / (1.0 + (failed.max(0.0) / 0.1).powi(2));
     // Danger: answers differ by chance; what is not clearly slow is left to reports. What is slow gets so
@@ -81,7 +81,7 @@
         self.probe(now);
         // One lap a snapshot, spread: quiet balancers that began anew at row one would all herd there.
         let lap = self.rows.len().max(1) as f64 / self.calls.get(now).max(1.0);
-        let least = self.settings.step.as_secs_f64() * 4.0;
+        let least = self.settings.host_tick.as_secs_f64() * 4.0;
         let after = lap.clamp(least, (self.settings.rules.ramp.as_secs_f64() / 8.0).max(least));
         let after = secs(after * (0.8 + 0.4 * self.rng.f64()));
         self.actions.push(Action::SetTimer { after, timer: Timer::Refresh });
@@ -93,7 +93,7 @@
         self.forget(now);
         self.cover(now);
         self.cursor = 0;
-        self.rows_out = self.rows.iter().map(|&place| self.table.upstreams[place].out).sum();
+        self.rows_out = self.rows.iter().map(|&place| self.table.endpoints[place].out).sum();
         if self.rows.is_empty() {
             self.rows_size = 0.0;
             return;
@@ -102,13 +102,13 @@
         let rows: Vec<Row> = self.rows.iter().map(|&place| self.row(now, place)).collect();
         let usual = self.usual(now, &rows, abroad);
         let usual_silent = |class: usize| {
-            let silent = rows.iter().map(|row| self.table.upstreams[row.place].silent[class]).collect();
+            let silent = rows.iter().map(|row| self.table.endpoints[row.place].silent[class]).collect();
             0.9 + 2.0 * lowest(3, silent)
         };
         self.usual_silent = (0..self.settings.classes.len()).map(usual_silent).collect();
         let ranked = self.rank(now, &rows, &usual);
         let ranked = || ranked.iter().map(|&at| &rows[at as usize]);
-        // What a warm upstream takes stays known when none is left; else a cold one would be taken for warm.
+        // What a warm endpoint takes stays known when none is left; else a cold one would be taken for warm.
         let warm = ranked().map(|row| row.size * row.warmth).sum();
         let any_warm = rows.iter().any(|row| row.warmth >= 1.0);
         let all = ranked().map(|row| row.size * row.cold_part).sum();
@@ -118,16 +118,16 @@
 
     /// Removes what has been gone for long, and lets what was learned of the others fade.
     fn forget(&mut self, now: Time) {
-        let (memory, alone) = (self.memory, self.settings.rules.drain_binds_alone);
-        // Danger: where new upstreams replace old ones for ever, the gone must leave the table. Where
+        let (memory, alone) = (self.memory, self.settings.rules.use_removed_endpoints);
+        // Danger: where new endpoints replace old ones for ever, the gone must leave the table. Where
         // draining alone binds they stay, as the mark of their drain does.
         self.table.remove_all(|up| {
-            let gone = !alone && up.member.state == State::Gone && up.out < 0.5;
+            let gone = !alone && up.member.state == EndpointState::Removed && up.out < 0.5;
             gone && now.saturating_sub(up.judged).as_secs_f64() >= memory
         });
         // Most were judged last at the same time, by the last snapshot.
         let mut last = (now, 1.0);
-        for up in &mut self.table.upstreams {
+        for up in &mut self.table.endpoints {
             up.walked = false;
             if up.may_be_sent_to(alone) {
                 if up.judged != last.0 {
@@ -138,9 +138,9 @@
         }
     }
 
-    /// The row of the upstream at this place.
+    /// The row of the endpoint at this place.
     fn row(&self, now: Time, place: usize) -> Row {
-        let up = &self.table.upstreams[place];
+        let up = &self.table.endpoints[place];
         Row {
             place,
             size: self.size(up),
@@ -194,7 +194,7 @@
         self.rng.shuffle(&mut ranked);
         ranked.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (row, (pace, probation)) in rows.iter().zip(paces) {
-            let up = &mut self.table.upstreams[row.place];
+            let up = &mut self.table.endpoints[row.place];
             up.pace = pace / fastest;
             up.probation = probation;
         }
@@ -205,7 +205,7 @@
 
     /// The size of the rows, as far as they lie in this balancer's stretch.
     pub(super) fn size_of_rows(&self) -> f64 {
-        let ups = self.rows.iter().map(|&place| &self.table.upstreams[place]);
+        let ups = self.rows.iter().map(|&place| &self.table.endpoints[place]);
         ups.map(|up| self.size(up) * up.part).sum()
     }
 }
--- a/crates/module/src/policy/subset.rs
+++ b/crates/module/src/policy/subset.rs
@@ -3,7 +3,7 @@
 use super::Balancer;
 use crate::interface::*;
 
-/// Each upstream is walked by so many balancers.
+/// Each endpoint is walked by so many balancers.
 const COVER: f64 = 12.0;
 /// Each balancer walks so many rows at least.
 const LEAST_ROWS: f64 = 4.0;
@@ -14,18 +14,18 @@
 const CROWDED_HOME: f64 = 2.0;
 
 impl Balancer {
-    /// Narrows the rows to a subset of the ready upstreams. Danger: a balancer of few calls a second that
-    /// walks a long list hears of each upstream long ago, judges none, and keeps connections to all.
-    /// Upstreams lie by key on two rings, own zone and others, each as long as its size. Each balancer takes
-    /// a stretch of each from a point that its rank gives, and of the upstreams at its ends the part that
-    /// lies in it, so cover is even by size and moves little with the list. Cold and sick upstreams count in
-    /// part. A stretch stands for its ring; else a zone with few upstreams would get as much as the others.
+    /// Narrows the rows to a subset of the ready endpoints. Danger: a balancer of few calls a second that
+    /// walks a long list hears of each endpoint long ago, judges none, and keeps connections to all.
+    /// Endpoints lie by key on two rings, own zone and others, each as long as its size. Each balancer takes
+    /// a stretch of each from a point that its rank gives, and of the endpoints at its ends the part that
+    /// lies in it, so cover is even by size and moves little with the list. Cold and sick endpoints count in
+    /// part. A stretch stands for its ring; else a zone with few endpoints would get as much as the others.
     pub(super) fn cover(&mut self, now: Time) {
-        let alone = self.settings.rules.drain_binds_alone;
+        let alone = self.settings.rules.use_removed_endpoints;
         let (mut near, mut far) = (Vec::new(), Vec::new());
         self.table.order();
         for &(_, place) in &self.table.by_key {
-            let up = &self.table.upstreams[place as usize];
+            let up = &self.table.endpoints[place as usize];
             if up.may_be_sent_to(alone) {
                 let ring = if up.member.zone == self.settings.zone { &mut near } else { &mut far };
                 ring.push((place as usize, self.size(up)));
@@ -52,7 +52,7 @@
                 skip -= size;
                 continue;
             }
-            let up = &self.table.upstreams[place];
+            let up = &self.table.endpoints[place];
             if left <= 0.0 || step >= ring.len() && up.walked {
                 break;
             }
@@ -62,21 +62,21 @@
             left -= part * sound;
             taken += part;
             self.rows.push(place);
-            let up = &mut self.table.upstreams[place];
+            let up = &mut self.table.endpoints[place];
             up.walked = true;
             up.part = part / size * whole / stretch;
         }
         for &place in &self.rows[first..] {
-            self.table.upstreams[place].cold_part = (stretch / taken).min(1.0);
+            self.table.endpoints[place].cold_part = (stretch / taken).min(1.0);
         }
     }
 
     /// How often rows of other zones are visited, against own rows. Crossings cost time and a price, so the
     /// walk stays at home until home is more loaded than the rest by ten times the price. Danger: a zone
-    /// with more traffic than its upstreams can carry; the share abroad grows until loads are level.
+    /// with more traffic than its endpoints can carry; the share abroad grows until loads are level.
     pub(super) fn lean_home(&mut self, now: Time) -> f64 {
         let (mut sums, mut counts) = ([0.0; 2], [0.0; 2]);
-        for up in self.rows.iter().map(|&place| &self.table.upstreams[place]) {
+        for up in self.rows.iter().map(|&place| &self.table.endpoints[place]) {
             if let Some((load, _)) = up.load {
                 let side = usize::from(up.member.zone != self.settings.zone);
                 sums[side] += load / self.size(up);
--- a/crates/module/src/policy/table.rs
+++ b/crates/module/src/policy/table.rs
@@ -1,17 +1,17 @@
-//! The table of upstreams: what is known of each, and the lists that change it.
+//! The table of endpoints: what is known of each, and the lists that change it.
 
 use super::Balancer;
 use super::rate::fade;
 use crate::interface::*;
 use std::collections::BTreeSet;
 
-/// The most attempts an upstream is judged by.
+/// The most attempts an endpoint is judged by.
 const JUDGED: f64 = 20.0;
 
-/// What is known of one upstream.
+/// What is known of one endpoint.
 #[derive(Debug, Default)]
-pub(super) struct Upstream {
-    pub(super) member: Member,
+pub(super) struct Endpoint {
+    pub(super) member: EndpointEntry,
     /// It was listed as draining and not as ready since.
     pub(super) drained: bool,
     /// The load it reported last, and when.
@@ -47,7 +47,7 @@
     pub(super) out: f64,
     /// It is one of the rows that are walked.
     pub(super) walked: bool,
-    /// What a cold upstream may still be sent.
+    /// What a cold endpoint may still be sent.
     pub(super) cold_left: f64,
     /// The part of the calls of a warm one that it may have: less where cold ones let balancers walk more
     /// rows.
@@ -56,14 +56,14 @@
     pub(super) cold_at: f64,
 }
 
-impl Upstream {
-    /// Rule 3. Danger: a list may name upstreams as gone that run and serve, even all of a tier. Where the
+impl Endpoint {
+    /// Rule 3. Danger: a list may name endpoints as gone that run and serve, even all of a tier. Where the
     /// state of draining alone binds, they stay in the walk and their own answers tell who is dead.
-    pub(super) fn may_be_sent_to(&self, drain_binds_alone: bool) -> bool {
+    pub(super) fn may_be_sent_to(&self, use_removed_endpoints: bool) -> bool {
         match self.member.state {
-            State::Ready => true,
-            State::Draining => false,
-            State::Gone => drain_binds_alone && !self.drained,
+            EndpointState::Ready => true,
+            EndpointState::Draining => false,
+            EndpointState::Removed => use_removed_endpoints && !self.drained,
         }
     }
 
@@ -91,21 +91,21 @@
     }
 }
 
-/// All upstreams that are listed, and for a while what is gone, in the order of their ids. A place in it is
-/// good until an upstream is added or removed.
+/// All endpoints that are listed, and for a while what is gone, in the order of their ids. A place in it is
+/// good until an endpoint is added or removed.
 #[derive(Debug, Default)]
 pub(super) struct Table {
-    pub(super) ids: Vec<UpstreamId>,
-    pub(super) upstreams: Vec<Upstream>,
+    pub(super) ids: Vec<EndpointId>,
+    pub(super) endpoints: Vec<Endpoint>,
     /// Places by key, while `ordered`.
     pub(super) by_key: Vec<(u64, u32)>,
     pub(super) ordered: bool,
 }
 
 impl Table {
-    /// Where this upstream stands.
-    pub(super) fn place(&self, id: UpstreamId) -> Option<usize> {
-        // Ids are given out one after the other, so most upstreams stand as far from the first as their id.
+    /// Where this endpoint stands.
+    pub(super) fn place(&self, id: EndpointId) -> Option<usize> {
+        // Ids are given out one after the other, so most endpoints stand as far from the first as their id.
         let likely = id.0.checked_sub(self.ids.first()?.0)? as usize;
         if self.ids.get(likely) == Some(&id) {
             return Some(likely);
@@ -113,53 +113,53 @@
         self.ids.binary_search(&id).ok()
     }
 
-    /// What is known of this upstream.
-    pub(super) fn get(&self, id: UpstreamId) -> Option<&Upstream> {
-        self.place(id).map(|place| &self.upstreams[place])
+    /// What is known of this endpoint.
+    pub(super) fn get(&self, id: EndpointId) -> Option<&Endpoint> {
+        self.place(id).map(|place| &self.endpoints[place])
     }
 
     /// The same, to be changed.
-    pub(super) fn get_mut(&mut self, id: UpstreamId) -> Option<&mut Upstream> {
-        self.place(id).map(|place| &mut self.upstreams[place])
+    pub(super) fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
+        self.place(id).map(|place| &mut self.endpoints[place])
     }
 
-    /// What is known of this upstream, which is added if it is new.
-    fn get_or_insert_with(&mut self, id: UpstreamId, new: impl FnOnce() -> Upstream) -> &mut Upstream {
+    /// What is known of this endpoint, which is added if it is new.
+    fn get_or_insert_with(&mut self, id: EndpointId, new: impl FnOnce() -> Endpoint) -> &mut Endpoint {
         let place = match self.place(id) {
             Some(place) => place,
             None => {
                 let place = self.ids.partition_point(|&other| other < id);
                 self.ids.insert(place, id);
-                self.upstreams.insert(place, new());
+                self.endpoints.insert(place, new());
                 self.ordered = false;
                 place
             }
         };
-        &mut self.upstreams[place]
+        &mut self.endpoints[place]
     }
 
     /// Makes room for a list of so many, and no more than that.
     fn reserve(&mut self, listed: usize) {
         let more = listed.saturating_sub(self.ids.len());
         self.ids.reserve_exact(more);
-        self.upstreams.reserve_exact(more);
+        self.endpoints.reserve_exact(more);
     }
 
     /// Removes those of which this holds.
-    pub(super) fn remove_all(&mut self, removed: impl Fn(&Upstream) -> bool) {
-        if !self.upstreams.iter().any(&removed) {
+    pub(super) fn remove_all(&mut self, removed: impl Fn(&Endpoint) -> bool) {
+        if !self.endpoints.iter().any(&removed) {
             return;
         }
-        let mut stays = self.upstreams.iter().map(|up| !removed(up)).collect::<Vec<_>>().into_iter();
+        let mut stays = self.endpoints.iter().map(|up| !removed(up)).collect::<Vec<_>>().into_iter();
         self.ids.retain(|_| stays.next().unwrap_or(true));
-        self.upstreams.retain(|up| !removed(up));
+        self.endpoints.retain(|up| !removed(up));
         self.ordered = false;
     }
 
     /// Puts the places in order of their keys, if that has changed.
     pub(super) fn order(&mut self) {
         if !self.ordered {
-            let keys = self.upstreams.iter().enumerate().map(|(place, up)| (up.member.key, place as u32));
+            let keys = self.endpoints.iter().enumerate().map(|(place, up)| (up.member.key, place as u32));
             self.by_key.clear();
             self.by_key.extend(keys);
             self.by_key.sort_unstable();
@@ -169,19 +169,19 @@
 }
 
 impl Balancer {
-    /// What is known of this upstream.
-    pub(super) fn upstream(&self, id: UpstreamId) -> Option<&Upstream> {
+    /// What is known of this endpoint.
+    pub(super) fn endpoint(&self, id: EndpointId) -> Option<&Endpoint> {
         self.table.get(id)
     }
 
     /// The same, to be changed.
-    pub(super) fn upstream_mut(&mut self, id: UpstreamId) -> Option<&mut Upstream> {
+    pub(super) fn endpoint_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         self.table.get_mut(id)
     }
 
     /// News of the list.
-    pub(super) fn members(&mut self, now: Time, scope: ListScope, entries: &[Member]) {
-        if scope != ListScope::Remembered {
+    pub(super) fn members(&mut self, now: Time, scope: ListScope, entries: &[EndpointEntry]) {
+        if scope != ListScope::Restored {
             self.refused_lists = 0;
         }
         if scope != ListScope::Changes {
@@ -195,25 +195,25 @@
     }
 
     /// What a complete list leaves out is gone.
-    fn mark_gone(&mut self, entries: &[Member]) {
-        let listed: BTreeSet<UpstreamId> = entries.iter().map(|e| e.upstream).collect();
+    fn mark_gone(&mut self, entries: &[EndpointEntry]) {
+        let listed: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
         for id in self.table.ids.clone() {
-            if let Some(up) = self.upstream_mut(id).filter(|_| !listed.contains(&id)) {
-                up.member.state = State::Gone;
+            if let Some(up) = self.endpoint_mut(id).filter(|_| !listed.contains(&id)) {
+                up.member.state = EndpointState::Removed;
                 self.let_go(id);
             }
         }
     }
 
     /// One entry of a list.
-    fn member(&mut self, now: Time, entry: &Member) {
+    fn member(&mut self, now: Time, entry: &EndpointEntry) {
         // Danger: many balancers that save up for a whole call would all spend it in the same second.
         let cold_left = self.rng.f64();
         let cold_at = self.warm_calls.sum(now);
         // Danger: where each calls once within the ramp, none would come to a row that has a part of a turn.
         let credit = if self.warmth_of(entry, now) < 1.0 { self.rng.f64() } else { 0.0 };
         let classes = self.settings.classes.len();
-        let fresh = || Upstream {
+        let fresh = || Endpoint {
             member: entry.clone(),
             judged: now,
             part: 1.0,
@@ -223,34 +223,34 @@
             credit,
             cold_left,
             cold_at,
-            ..Upstream::default()
+            ..Endpoint::default()
         };
-        let up = self.table.get_or_insert_with(entry.upstream, fresh);
+        let up = self.table.get_or_insert_with(entry.endpoint, fresh);
         let other_key = up.member.key != entry.key;
-        let drained = up.drained && entry.state == State::Gone;
+        let drained = up.drained && entry.state == EndpointState::Removed;
         if up.member.started != entry.started {
             *up = fresh();
         }
-        up.drained = entry.state == State::Draining || drained;
+        up.drained = entry.state == EndpointState::Draining || drained;
         up.member = entry.clone();
         if !entry.weight.is_finite() || entry.weight <= 0.0 {
             up.member.weight = 1.0;
         }
         self.table.ordered &= !other_key;
-        self.let_go(entry.upstream);
+        self.let_go(entry.endpoint);
     }
 
     /// Rule 5: idle connections to what drains are closed, at the notice and after each later outcome.
-    pub(super) fn let_go(&mut self, id: UpstreamId) {
-        if self.settings.rules.let_go.is_some()
-            && self.upstream(id).is_some_and(|up| up.member.state != State::Ready)
+    pub(super) fn let_go(&mut self, id: EndpointId) {
+        if self.settings.rules.close_idle_within.is_some()
+            && self.endpoint(id).is_some_and(|up| up.member.state != EndpointState::Ready)
         {
-            self.actions.push(Action::Close(id));
+            self.actions.push(Action::CloseIdle(id));
         }
     }
 
-    /// An upstream's size against the others', where the list tells it.
-    pub(super) fn size(&self, up: &Upstream) -> f64 {
+    /// An endpoint's size against the others', where the list tells it.
+    pub(super) fn size(&self, up: &Endpoint) -> f64 {
         if self.settings.weights == WeightKind::Size { up.member.weight } else { 1.0 }
     }
 }
--- a/crates/module/src/policy/walk.rs
+++ b/crates/module/src/policy/walk.rs
@@ -10,7 +10,7 @@
 
 impl Balancer {
     /// Walks the list to the next row that may take this request.
-    pub(super) fn pick(&mut self, now: Time, request: &Request) -> Option<UpstreamId> {
+    pub(super) fn pick(&mut self, now: Time, request: &Request) -> Option<EndpointId> {
         let out_each = self.rows_out / self.rows.len().max(1) as f64;
         // First the sound rows that are not crowded, then sound rows, then any that the rules allow.
         let crowd = (1.0 + CROWDED_ROW / f64::from(self.settings.instances)) * out_each;
@@ -25,8 +25,8 @@
                 if !self.is_eligible(now, place, request, strict) {
                     continue;
                 }
-                let up = &mut self.table.upstreams[place];
-                // Danger: a stalled upstream says nothing; its last report stays attractive as calls pile up.
+                let up = &mut self.table.endpoints[place];
+                // Danger: a stalled endpoint says nothing; its last report stays attractive as calls pile up.
                 if up.out >= (0.5 + crowd * up.pace.sqrt()).max(1.0) {
                     continue;
                 }
@@ -39,7 +39,7 @@
                 }
                 // Danger: were its turns lost while it may not be sent to, it would wait for one after the
                 // other.
-                self.table.upstreams[place].credit = 1.0;
+                self.table.endpoints[place].credit = 1.0;
             }
         }
         let place = (0..self.rows.len()).find(|&at| self.may_take(now, self.rows[at], request, false));
@@ -50,7 +50,7 @@
     fn soundest(&mut self, now: Time, request: &Request) -> Option<usize> {
         let rows = self.rows.clone();
         let sound: Vec<_> = rows.into_iter().filter(|&at| self.may_take(now, at, request, true)).collect();
-        let credit = |place: &usize| self.table.upstreams[*place].credit;
+        let credit = |place: &usize| self.table.endpoints[*place].credit;
         sound.into_iter().max_by(|a, b| credit(a).total_cmp(&credit(b)))
     }
 
@@ -58,32 +58,32 @@
         self.is_eligible(now, place, request, strict) && self.cold_allows(now, place)
     }
 
-    /// Whether it may take this request, but for what a cold upstream may be sent.
+    /// Whether it may take this request, but for what a cold endpoint may be sent.
     fn is_eligible(&self, now: Time, place: usize, request: &Request, strict: bool) -> bool {
         let class = &self.settings.classes[request.class];
-        let alone = self.settings.rules.drain_binds_alone;
-        let (up, id) = (&self.table.upstreams[place], self.table.ids[place]);
+        let alone = self.settings.rules.use_removed_endpoints;
+        let (up, id) = (&self.table.endpoints[place], self.table.ids[place]);
         if !up.may_be_sent_to(alone) || !self.trust.covers(now, up.accepted) {
             return false;
         }
         // Rule 2: a keyed request that may have run goes only to those who drop its repeat, while they do.
         if let (Effect::Keyed { scope, window }, Some(first)) = (class.effect, request.may_have_run()) {
-            let ran = self.upstream(first.upstream).map(|ran| &ran.member);
+            let ran = self.endpoint(first.endpoint).map(|ran| &ran.member);
             let same = match scope {
                 DedupScope::All => true,
                 DedupScope::Zone => ran.is_some_and(|ran| up.member.zone == ran.zone),
                 DedupScope::Cell => ran.is_some_and(|ran| up.member.cell == ran.cell),
             };
-            if !same || now.saturating_sub(first.sent) + self.settings.step * 2 >= window {
+            if !same || now.saturating_sub(first.sent) + self.settings.host_tick * 2 >= window {
                 return false;
             }
         }
-        // Danger: an upstream may leave one class unanswered and serve the others; it is passed over for that
+        // Danger: an endpoint may leave one class unanswered and serve the others; it is passed over for that
         // class only, the longer the more often that happened.
         let unsound = up.unreachable(now)
             || up.silent[request.class] > self.usual_silent[request.class]
             || class.effect != Effect::Safe && up.probation;
-        let tried = request.attempts.iter().any(|a| a.upstream == id && (a.out || strict));
+        let tried = request.attempts.iter().any(|a| a.endpoint == id && (a.out || strict));
         !(tried || strict && unsound)
     }
 }
--- a/crates/module/tests/cold.rs
+++ b/crates/module/tests/cold.rs
@@ -202,13 +202,14 @@
             let row = id.checked_sub(self.warm).filter(|row| *row < starts)?;
             Some(began + self.apart * row)
         };
-        let entries = (0..self.rows()).map(|id| Member { started: started(id), ..member(id) }).collect();
-        Event::Members { scope: ListScope::Complete, entries }
+        let entries =
+            (0..self.rows()).map(|id| EndpointEntry { started: started(id), ..member(id) }).collect();
+        Event::EndpointList { scope: ListScope::Complete, entries }
     }
 
-    fn answer(&self, to: UpstreamId) -> (Outcome, Duration, Option<Report>) {
+    fn answer(&self, to: EndpointId) -> (Outcome, Duration, Option<LoadReport>) {
         match self.load {
-            Load::Full if to.0 < self.warm => (Outcome::Full, ms(2), load(9.0)),
+            Load::Full if to.0 < self.warm => (Outcome::Rejected, ms(2), load(9.0)),
             _ => (Outcome::Ok, ms(30), load(if to.0 < self.warm { 6.0 } else { 0.0 })),
         }
     }
@@ -217,7 +218,7 @@
     fn came(&self, seed: u64) -> Came {
         let rules = self.settings().rules;
         let (reached, starved) = self.play(seed);
-        let (window, mut most, mut got) = (rules.fall_after, 0.0f64, 0);
+        let (window, mut most, mut got) = (rules.overload_after, 0.0f64, 0);
         let per_row = self.total / f64::from(self.rows());
         for times in &reached {
             let times: Vec<Duration> = times.iter().copied().filter(|at| *at < rules.ramp).collect();
@@ -225,13 +226,14 @@
             for (first, from) in times.iter().enumerate() {
                 let count = times[first..].iter().take_while(|at| **at < *from + window).count() as f64;
                 let age = from.as_secs_f64() / rules.ramp.as_secs_f64();
-                let warmth = rules.cold_from + (1.0 - rules.cold_from) * age.min(1.0);
-                let n = rules.fall_multiple * per_row * warmth * window.as_secs_f64();
+                let warmth = rules.cold_capacity + (1.0 - rules.cold_capacity) * age.min(1.0);
+                let n = rules.overload_factor * per_row * warmth * window.as_secs_f64();
                 most = most.max(count / bound(n));
             }
         }
         // What a warm row takes, times the mean warmth over the ramp.
-        let due = f64::from(self.cold) * per_row * rules.ramp.as_secs_f64() * (1.0 + rules.cold_from) / 2.0;
+        let due =
+            f64::from(self.cold) * per_row * rules.ramp.as_secs_f64() * (1.0 + rules.cold_capacity) / 2.0;
         Came { most, share: got as f64 / due, starved }
     }
 }
@@ -239,8 +241,8 @@
 /// One call, and where its attempts went.
 fn called(
     d: &mut Drive,
-    answer: impl Fn(UpstreamId) -> (Outcome, Duration, Option<Report>),
-) -> Vec<UpstreamId> {
+    answer: impl Fn(EndpointId) -> (Outcome, Duration, Option<LoadReport>),
+) -> Vec<EndpointId> {
     let (id, mut actions) = d.ask(0, ms(2000));
     let mut went = Vec::new();
     while let Some(to) = sent(&actions) {
--- a/crates/module/tests/common/mod.rs
+++ b/crates/module/tests/common/mod.rs
@@ -8,18 +8,26 @@
     Duration::from_millis(n)
 }
 
-pub fn class(effect: Effect) -> Class {
-    Class { effect, ..Settings::example().classes[0].clone() }
+pub fn class(effect: Effect) -> RequestClass {
+    RequestClass { effect, ..Settings::example().classes[0].clone() }
 }
 
-pub fn member(id: u32) -> Member {
+pub fn member(id: u32) -> EndpointEntry {
     let (cell, zone) = (CellId(id as usize % 2), ZoneId(0));
     let key = u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    Member { upstream: UpstreamId(id), key, cell, zone, started: None, state: State::Ready, weight: 1.0 }
+    EndpointEntry {
+        endpoint: EndpointId(id),
+        key,
+        cell,
+        zone,
+        started: None,
+        state: EndpointState::Ready,
+        weight: 1.0,
+    }
 }
 
-pub fn load(queue: f64) -> Option<Report> {
-    Some(Report { inflight: Some(queue), queue: Some(0.0), ..Report::default() })
+pub fn load(queue: f64) -> Option<LoadReport> {
+    Some(LoadReport { inflight: Some(queue), queue: Some(0.0), ..LoadReport::default() })
 }
 
 pub struct Drive {
@@ -30,15 +38,15 @@
 }
 
 impl Drive {
-    pub fn new(settings: Settings, members: Vec<Member>) -> Drive {
+    pub fn new(settings: Settings, members: Vec<EndpointEntry>) -> Drive {
         Drive::seeded(settings, members, 11)
     }
 
-    pub fn seeded(settings: Settings, members: Vec<Member>, seed: u64) -> Drive {
+    pub fn seeded(settings: Settings, members: Vec<EndpointEntry>, seed: u64) -> Drive {
         let balancer = Balancer::new(settings, seed).expect("settings are sound");
         let mut drive = Drive { balancer, now: Duration::from_secs(100), timers: Vec::new(), next: 0 };
         drive.tell(Event::Start);
-        drive.tell(Event::Members { scope: ListScope::Remembered, entries: members });
+        drive.tell(Event::EndpointList { scope: ListScope::Restored, entries: members });
         drive
     }
 
@@ -67,18 +75,28 @@
         actions
     }
 
-    pub fn ask(&mut self, class: usize, left: Duration) -> (RequestId, Vec<Action>) {
+    pub fn ask(&mut self, class: usize, time_left: Duration) -> (RequestId, Vec<Action>) {
         let request = RequestId(self.next);
         self.next += 1;
         let class = ClassId(class);
-        (request, self.tell(Event::Request { request, class, tenant: None, left, hint: None, repeat: false }))
+        (
+            request,
+            self.tell(Event::Request {
+                request,
+                class,
+                tenant: None,
+                time_left,
+                work_hint: None,
+                client_retry: false,
+            }),
+        )
     }
 
     pub fn end(
         &mut self,
         request: RequestId,
         n: u32,
-        to: UpstreamId,
+        to: EndpointId,
         outcome: Outcome,
         took: Duration,
     ) -> Vec<Action> {
@@ -89,28 +107,28 @@
         &mut self,
         request: RequestId,
         attempt: u32,
-        upstream: UpstreamId,
+        endpoint: EndpointId,
         outcome: Outcome,
         latency: Duration,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) -> Vec<Action> {
-        let closed = outcome == Outcome::Ok;
-        self.tell(Event::Outcome { request, attempt, upstream, closed, outcome, latency, report })
+        let finished = outcome == Outcome::Ok;
+        self.tell(Event::Outcome { request, attempt, endpoint, finished, outcome, latency, report })
     }
 
     /// A call that is answered at once as `answer` says; returns where it went first.
     pub fn call(
         &mut self,
         class: usize,
-        answer: impl Fn(UpstreamId) -> (Outcome, Duration, Option<Report>),
-    ) -> Option<UpstreamId> {
+        answer: impl Fn(EndpointId) -> (Outcome, Duration, Option<LoadReport>),
+    ) -> Option<EndpointId> {
         let (request, actions) = self.ask(class, ms(2000));
         let first = sent(&actions);
         let mut to = first;
         let mut attempt = 0;
-        while let Some(upstream) = to {
-            let (outcome, latency, report) = answer(upstream);
-            let actions = self.end_with(request, attempt, upstream, outcome, latency, report);
+        while let Some(endpoint) = to {
+            let (outcome, latency, report) = answer(endpoint);
+            let actions = self.end_with(request, attempt, endpoint, outcome, latency, report);
             to = sent(&actions);
             attempt += 1;
         }
@@ -118,15 +136,15 @@
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<UpstreamId> {
+pub fn sent(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|a| match a {
-        Action::Send { upstream, .. } => Some(*upstream),
+        Action::Send { endpoint, .. } => Some(*endpoint),
         _ => None,
     })
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/crates/module/tests/rules.rs
+++ b/crates/module/tests/rules.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 struct Sent {
-    to: UpstreamId,
+    to: EndpointId,
     at: Time,
     out: bool,
     void: bool,
@@ -23,12 +23,12 @@
     settings: Settings,
     d: Drive,
     rng: fastrand::Rng,
-    members: Vec<Member>,
-    left_at: HashMap<UpstreamId, Time>,
-    /// Connections to these upstreams may be idle since then.
-    idle: HashMap<UpstreamId, Time>,
+    members: Vec<EndpointEntry>,
+    left_at: HashMap<EndpointId, Time>,
+    /// Connections to these endpoints may be idle since then.
+    idle: HashMap<EndpointId, Time>,
     open: HashMap<RequestId, Open>,
-    late: Vec<(RequestId, u32, UpstreamId)>,
+    late: Vec<(RequestId, u32, EndpointId)>,
     answers: u32,
     /// When requests were taken, and the attempts past their first.
     taken: Vec<Time>,
@@ -38,37 +38,40 @@
 impl World {
     /// Books what the balancer did and checks it against the rules.
     fn check(&mut self, actions: Vec<Action>) {
-        if let Some(let_go) = self.settings.rules.let_go {
+        if let Some(close_idle_within) = self.settings.rules.close_idle_within {
             for action in &actions {
-                if let Action::Close(upstream) = action {
-                    self.idle.remove(upstream);
+                if let Action::CloseIdle(endpoint) = action {
+                    self.idle.remove(endpoint);
                 }
             }
-            for (upstream, &since) in &self.idle {
+            for (endpoint, &since) in &self.idle {
                 // The later of notice and last use; a send that is out keeps no idle connection open.
-                if let Some(&left) = self.left_at.get(upstream) {
-                    assert!(self.d.now < since.max(left) + let_go, "rule 5: still open to {upstream:?}");
+                if let Some(&left) = self.left_at.get(endpoint) {
+                    assert!(
+                        self.d.now < since.max(left) + close_idle_within,
+                        "rule 5: still open to {endpoint:?}"
+                    );
                 }
             }
         }
         for action in actions {
             match action {
-                Action::Send { request, upstream, .. } => {
+                Action::Send { request, endpoint, .. } => {
                     let now = self.d.now;
                     let open = self.open.get_mut(&request).expect("rule 1: sent for a finished request");
-                    if let Some(&left) = self.left_at.get(&upstream) {
+                    if let Some(&left) = self.left_at.get(&endpoint) {
                         assert!(now - left <= self.settings.rules.drain_grace, "rule 3");
                     }
                     assert!((open.sent.len() as u32) < self.settings.limits.max_attempts, "attempts");
                     let out = open.sent.iter().filter(|s| s.out).count();
-                    assert!(out < if self.settings.limits.second_copies { 2 } else { 1 }, "copies");
+                    assert!(out < if self.settings.limits.hedging { 2 } else { 1 }, "copies");
                     if let Some(first) = open.sent.iter().find(|s| !s.void) {
                         match self.settings.classes[open.class].effect {
                             Effect::Safe => {}
                             Effect::Unsafe => panic!("rule 2: unsafe sent again"),
                             Effect::Keyed { scope, window } => {
                                 let (a, b) =
-                                    (member_of(&self.members, first.to), member_of(&self.members, upstream));
+                                    (member_of(&self.members, first.to), member_of(&self.members, endpoint));
                                 let same = match scope {
                                     DedupScope::All => true,
                                     DedupScope::Zone => a.zone == b.zone,
@@ -83,16 +86,15 @@
                     if !open.sent.is_empty() {
                         self.further.push((now, request, open.sent.len()));
                         if let Some(budget) = self.settings.rules.retry_budget {
-                            let further =
-                                self.further.iter().filter(|f| now - f.0 <= budget.look_back).count();
-                            let taken = self.taken.iter().filter(|&&at| now - at < budget.look_back).count();
-                            let most = budget.free + budget.ratio * taken as f64;
+                            let further = self.further.iter().filter(|f| now - f.0 <= budget.window).count();
+                            let taken = self.taken.iter().filter(|&&at| now - at < budget.window).count();
+                            let most = budget.min_retries + budget.ratio * taken as f64;
                             assert!(further as f64 <= most + 1e-6, "budget: {further} of {most}");
                         }
                     }
-                    open.sent.push(Sent { to: upstream, at: now, out: true, void: false });
+                    open.sent.push(Sent { to: endpoint, at: now, out: true, void: false });
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let open = self.finish(request);
                     let ran = open.sent.iter().any(|s| !s.void);
                     match self.settings.classes[open.class].effect {
@@ -152,11 +154,11 @@
                         Outcome::Ok,
                         Outcome::Ok,
                         Outcome::Error,
-                        Outcome::Full,
+                        Outcome::Rejected,
                         Outcome::ConnectFailed,
                         Outcome::Reset,
                         Outcome::Timeout,
-                        Outcome::Moot,
+                        Outcome::NotSent,
                     ];
                     let outcome = outcomes[self.rng.usize(0..outcomes.len())];
                     self.end(id, n as u32, outcome);
@@ -167,8 +169,8 @@
                     let event = Event::Outcome {
                         request: id,
                         attempt: n,
-                        upstream: to,
-                        closed: true,
+                        endpoint: to,
+                        finished: true,
                         outcome: Outcome::Cancelled,
                         latency: ms(5),
                         report: load(1.0),
@@ -180,17 +182,23 @@
             }
             _ => {
                 let n = self.rng.usize(0..self.members.len());
-                let state = [State::Ready, State::Ready, State::Draining, State::Gone][self.rng.usize(0..4)];
+                let state = [
+                    EndpointState::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ][self.rng.usize(0..4)];
                 let started = if self.rng.bool() { self.members[n].started } else { Some(self.d.now) };
                 let entry = &mut self.members[n];
                 (entry.state, entry.started) = (state, started);
                 let (entry, now) = (entry.clone(), self.d.now);
-                if state == State::Ready {
-                    self.left_at.remove(&entry.upstream);
-                } else if state == State::Draining || !self.settings.rules.drain_binds_alone {
-                    self.left_at.entry(entry.upstream).or_insert(now);
+                if state == EndpointState::Ready {
+                    self.left_at.remove(&entry.endpoint);
+                } else if state == EndpointState::Draining || !self.settings.rules.use_removed_endpoints {
+                    self.left_at.entry(entry.endpoint).or_insert(now);
                 }
-                let actions = self.d.tell(Event::Members { scope: ListScope::Changes, entries: vec![entry] });
+                let actions =
+                    self.d.tell(Event::EndpointList { scope: ListScope::Changes, entries: vec![entry] });
                 self.check(actions);
             }
         }
@@ -199,7 +207,7 @@
     fn end(&mut self, id: RequestId, n: u32, outcome: Outcome) {
         let sent = &mut self.open.get_mut(&id).expect("it is open").sent[n as usize];
         (sent.out, sent.void) = (false, outcome.never_ran());
-        if outcome == Outcome::Moot {
+        if outcome == Outcome::NotSent {
             self.further.retain(|f| (f.1, f.2) != (id, n as usize));
         }
         let (to, latency) = (sent.to, self.d.now - sent.at);
@@ -213,8 +221,8 @@
     }
 }
 
-fn member_of(members: &[Member], id: UpstreamId) -> &Member {
-    members.iter().find(|m| m.upstream == id).expect("it was listed")
+fn member_of(members: &[EndpointEntry], id: EndpointId) -> &EndpointEntry {
+    members.iter().find(|m| m.endpoint == id).expect("it was listed")
 }
 
 #[test]
@@ -231,7 +239,7 @@
             class(Effect::Keyed { scope: DedupScope::Zone, window }),
             class(Effect::Keyed { scope: DedupScope::Cell, window }),
         ];
-        settings.limits.second_copies = rng.bool();
+        settings.limits.hedging = rng.bool();
         settings.limits.probes = rng.bool();
         settings.limits.cancel = rng.bool();
         settings.limits.max_attempts = rng.u32(1..6);
@@ -239,16 +247,17 @@
         settings.tiers = 2;
         settings.instances = [1, 200][rng.usize(0..2)];
         settings.rank = rng.u32(0..200);
-        settings.rules.let_go = [None, Some(ms(300))][rng.usize(0..2)];
-        let (free, ratio) = ([0.0, 1.0, 5.0][rng.usize(0..3)], [0.0, 0.03, 0.5][rng.usize(0..3)]);
-        let look_back = Duration::from_secs(2);
-        settings.rules.retry_budget = Some(RetryBudget { free, ratio, look_back }).filter(|_| rng.bool());
-        settings.rules.drain_binds_alone = rng.bool();
-        settings.reports = [ReportSource::Answers, ReportSource::Probes, ReportSource::None][rng.usize(0..3)];
-        settings.rules.cold_from = [0.3, 1.0][rng.usize(0..2)];
+        settings.rules.close_idle_within = [None, Some(ms(300))][rng.usize(0..2)];
+        let (min_retries, ratio) = ([0.0, 1.0, 5.0][rng.usize(0..3)], [0.0, 0.03, 0.5][rng.usize(0..3)]);
+        let window = Duration::from_secs(2);
+        settings.rules.retry_budget = Some(RetryBudget { min_retries, ratio, window }).filter(|_| rng.bool());
+        settings.rules.use_removed_endpoints = rng.bool();
+        settings.reports =
+            [ReportSource::Responses, ReportSource::Probes, ReportSource::None][rng.usize(0..3)];
+        settings.rules.cold_capacity = [0.3, 1.0][rng.usize(0..2)];
         let count = rng.u32(1..9);
-        let members: Vec<Member> =
-            (0..count).map(|id| Member { zone: ZoneId(id as usize % 3), ..member(id) }).collect();
+        let members: Vec<EndpointEntry> =
+            (0..count).map(|id| EndpointEntry { zone: ZoneId(id as usize % 3), ..member(id) }).collect();
         let d = Drive::new(settings.clone(), members.clone());
         let (left_at, open, late) = (HashMap::new(), HashMap::new(), Vec::new());
         let idle = HashMap::new();
--- a/crates/module/tests/scenarios.rs
+++ b/crates/module/tests/scenarios.rs
@@ -17,7 +17,7 @@
     }
     d.pass(ms(1500));
     let first = d.call(0, |_| (Outcome::Ok, ms(20), None));
-    assert_eq!(first, Some(UpstreamId(1)));
+    assert_eq!(first, Some(EndpointId(1)));
     let mut seen = [0; 4];
     for _ in 0..40 {
         let to = d.call(0, |_| (Outcome::Ok, ms(20), None)).expect("someone takes it");
@@ -32,7 +32,7 @@
     let mut d = Drive::new(Settings::example(), vec![]);
     let (_, actions) = d.ask(0, ms(2000));
     assert!(
-        matches!(&actions[..], [Action::Refuse { retry_after: Some(_), .. }]),
+        matches!(&actions[..], [Action::Reject { retry_after: Some(_), .. }]),
         "nothing is held without an attempt out, and the client is told when to come back: {actions:?}"
     );
 }
@@ -40,33 +40,33 @@
 #[test]
 fn a_draining_upstream_gets_nothing_new() {
     let mut d = Drive::new(Settings::example(), (0..3).map(member).collect());
-    let draining = Member { state: State::Draining, ..member(1) };
-    d.tell(Event::Members { scope: ListScope::Changes, entries: vec![draining] });
+    let draining = EndpointEntry { state: EndpointState::Draining, ..member(1) };
+    d.tell(Event::EndpointList { scope: ListScope::Changes, entries: vec![draining] });
     for _ in 0..30 {
-        assert_ne!(d.call(0, |_| (Outcome::Ok, ms(20), None)), Some(UpstreamId(1)));
+        assert_ne!(d.call(0, |_| (Outcome::Ok, ms(20), None)), Some(EndpointId(1)));
     }
-    d.tell(Event::Members { scope: ListScope::Complete, entries: vec![member(2)] });
+    d.tell(Event::EndpointList { scope: ListScope::Complete, entries: vec![member(2)] });
     for _ in 0..10 {
-        assert_eq!(d.call(0, |_| (Outcome::Ok, ms(20), None)), Some(UpstreamId(2)));
+        assert_eq!(d.call(0, |_| (Outcome::Ok, ms(20), None)), Some(EndpointId(2)));
     }
 }
 
 #[test]
 fn idle_connections_to_a_draining_upstream_are_closed_at_the_notice_and_after_each_outcome() {
     let mut settings = Settings::example();
-    settings.rules.let_go = Some(ms(300));
+    settings.rules.close_idle_within = Some(ms(300));
     let mut d = Drive::new(settings, (0..2).map(member).collect());
-    let list = |scope, entries| Event::Members { scope, entries };
+    let list = |scope, entries| Event::EndpointList { scope, entries };
     let (id, actions) = d.ask(0, ms(2000));
     let to = sent(&actions).expect("someone takes it");
-    let closed = Action::Close(to);
-    let draining = Member { state: State::Draining, ..member(to.0) };
+    let closed = Action::CloseIdle(to);
+    let draining = EndpointEntry { state: EndpointState::Draining, ..member(to.0) };
     for _ in 0..2 {
         let actions = d.tell(list(ListScope::Changes, vec![draining.clone()]));
         assert_eq!(
             actions,
             std::slice::from_ref(&closed),
-            "at the notice, repeated or not, and no other upstream"
+            "at the notice, repeated or not, and no other endpoint"
         );
     }
     assert!(d.end(id, 0, to, Outcome::Ok, ms(20)).contains(&closed), "the call's own connection is idle now");
@@ -74,7 +74,7 @@
     d.tell(list(ListScope::Changes, vec![member(to.0)]));
     let other = member(1 - to.0);
     assert_eq!(d.tell(list(ListScope::Complete, vec![other])), [closed], "removed from the list");
-    assert!(d.end(RequestId(99), 0, UpstreamId(77), Outcome::Ok, ms(1)).is_empty(), "one never listed");
+    assert!(d.end(RequestId(99), 0, EndpointId(77), Outcome::Ok, ms(1)).is_empty(), "one never listed");
 }
 
 #[test]
@@ -82,8 +82,8 @@
     let mut d = Drive::new(Settings::example(), (0..2).map(member).collect());
     let (id, actions) = d.ask(0, ms(2000));
     let to = sent(&actions).expect("someone takes it");
-    let draining = Member { state: State::Draining, ..member(to.0) };
-    assert!(d.tell(Event::Members { scope: ListScope::Changes, entries: vec![draining] }).is_empty());
+    let draining = EndpointEntry { state: EndpointState::Draining, ..member(to.0) };
+    assert!(d.tell(Event::EndpointList { scope: ListScope::Changes, entries: vec![draining] }).is_empty());
     assert!(d.end(id, 0, to, Outcome::Ok, ms(20)).is_empty());
 }
 
@@ -120,14 +120,14 @@
 #[test]
 fn one_that_fails_fast_is_ejected_though_its_queue_is_short_and_returns() {
     let mut d = Drive::new(Settings::example(), (0..6).map(member).collect());
-    let sick = |up: UpstreamId| match up.0 {
+    let sick = |up: EndpointId| match up.0 {
         2 => (Outcome::Error, ms(1), load(0.0)),
         _ => (Outcome::Ok, ms(30), load(6.0)),
     };
     let mut hits = 0;
     for n in 0..300 {
         let to = d.call(0, sick);
-        hits += u32::from(n >= 60 && to == Some(UpstreamId(2)));
+        hits += u32::from(n >= 60 && to == Some(EndpointId(2)));
         d.pass(ms(10));
     }
     assert!(hits <= 6, "{hits} of 240 to the one that fails");
@@ -135,7 +135,7 @@
     d.pass(Duration::from_secs(20));
     let mut back = 0;
     for _ in 0..120 {
-        back += u32::from(d.call(0, well) == Some(UpstreamId(2)));
+        back += u32::from(d.call(0, well) == Some(EndpointId(2)));
         d.pass(ms(10));
     }
     assert!(back >= 5, "{back} of 120 after it recovered");
@@ -159,11 +159,11 @@
 #[test]
 fn a_slow_one_gets_little() {
     let mut d = Drive::new(Settings::example(), (0..5).map(member).collect());
-    let slow = |up: UpstreamId| (Outcome::Ok, ms(if up.0 == 0 { 300 } else { 40 }), load(2.0));
+    let slow = |up: EndpointId| (Outcome::Ok, ms(if up.0 == 0 { 300 } else { 40 }), load(2.0));
     let mut hits = 0;
     for n in 0..300 {
         let to = d.call(0, slow);
-        hits += u32::from(n >= 100 && to == Some(UpstreamId(0)));
+        hits += u32::from(n >= 100 && to == Some(EndpointId(0)));
         d.pass(ms(10));
     }
     assert!(hits <= 10, "{hits} of 200 to the slow one");
@@ -176,7 +176,7 @@
     for n in 0..120 {
         let (id, actions) = d.ask(0, ms(2000));
         match sent(&actions).expect("someone takes it") {
-            UpstreamId(3) if n >= 20 => stalled += 1,
+            EndpointId(3) if n >= 20 => stalled += 1,
             to => drop(d.end_with(id, 0, to, Outcome::Ok, ms(30), load(3.0))),
         }
         d.pass(ms(5));
@@ -193,14 +193,14 @@
     for rank in 0..17 {
         let settings = Settings { instances: 17, rank, ..Settings::example() };
         let mut d = Drive::new(settings, (0..8).map(member).collect());
-        let answer = |to: UpstreamId| (Outcome::Ok, ms(30), load(if to.0 < 4 { 9.0 } else { 0.0 }));
+        let answer = |to: EndpointId| (Outcome::Ok, ms(30), load(if to.0 < 4 { 9.0 } else { 0.0 }));
         for _ in 0..120 {
             d.call(0, answer);
             d.pass(ms(100));
         }
         let started = Some(d.now);
-        let replaced = (0..8).map(|id| Member { started: started.filter(|_| id >= 4), ..member(id) });
-        d.tell(Event::Members { scope: ListScope::Complete, entries: replaced.collect() });
+        let replaced = (0..8).map(|id| EndpointEntry { started: started.filter(|_| id >= 4), ..member(id) });
+        d.tell(Event::EndpointList { scope: ListScope::Complete, entries: replaced.collect() });
         for n in 0..30 {
             if let Some(to) = d.call(0, answer) {
                 sums[n / 15][to.0 as usize] += 1;
@@ -228,14 +228,14 @@
         let mut d = Drive::new(settings, (0..12).map(member).collect());
         let mut met = [false; 12];
         for _ in 0..200 {
-            let idle = |to: UpstreamId| load(if to == UpstreamId(3) { 0.0 } else { 6.0 });
+            let idle = |to: EndpointId| load(if to == EndpointId(3) { 0.0 } else { 6.0 });
             let to = d.call(0, |to| (Outcome::Ok, ms(30), idle(to))).expect("someone takes it");
             met[to.0 as usize] = true;
             d.pass(ms(50));
         }
         // Then nothing answers for as long as six calls take to come.
         let to: Vec<_> = (0..6).filter_map(|_| sent(&d.ask(0, ms(2000)).1)).collect();
-        most += to.iter().filter(|&&to| met[3] && to == UpstreamId(3)).count();
+        most += to.iter().filter(|&&to| met[3] && to == EndpointId(3)).count();
     }
     assert!(most <= 17, "{most} calls at once at one row");
 }
@@ -259,8 +259,8 @@
         d.pass(ms(10));
     }
     // All four are replaced by one that has just started: 100 calls a second must not all reach it.
-    let cold = Member { started: Some(d.now), ..member(9) };
-    d.tell(Event::Members { scope: ListScope::Complete, entries: vec![cold] });
+    let cold = EndpointEntry { started: Some(d.now), ..member(9) };
+    d.tell(Event::EndpointList { scope: ListScope::Complete, entries: vec![cold] });
     let mut hits = 0;
     for _ in 0..200 {
         hits += u32::from(d.call(0, ok).is_some());
@@ -272,7 +272,7 @@
 
 /// Asks that nobody answers, after a quiet spell: how many of each class are taken out of 100.
 fn taken_in_a_jam(tier: usize) -> [u32; 2] {
-    let (low, high) = (class(Effect::Safe), Class { worth: 10.0, ..class(Effect::Safe) });
+    let (low, high) = (class(Effect::Safe), RequestClass { value: 10.0, ..class(Effect::Safe) });
     let settings = Settings { classes: vec![low, high], tier, tiers: 2, ..Settings::example() };
     let mut d = Drive::new(settings, (0..5).map(member).collect());
     for n in 0..200 {
@@ -296,10 +296,10 @@
 
 #[test]
 fn the_limit_on_crowding_falls_while_much_is_refused_for_long() {
-    let (low, high) = (class(Effect::Safe), Class { worth: 10.0, ..class(Effect::Safe) });
+    let (low, high) = (class(Effect::Safe), RequestClass { value: 10.0, ..class(Effect::Safe) });
     let settings = Settings { classes: vec![low, high], ..Settings::example() };
     let mut d = Drive::new(settings, (0..5).map(member).collect());
-    let mut out: std::collections::VecDeque<(Time, RequestId, UpstreamId, Time)> = Default::default();
+    let mut out: std::collections::VecDeque<(Time, RequestId, EndpointId, Time)> = Default::default();
     // A fleet that serves a call each 4 ms and is asked each 2 ms: what waits stands as long as it is let in.
     let mut held = Vec::new();
     let mut free_at = d.now;
@@ -324,12 +324,12 @@
 #[test]
 fn a_full_zone_sends_unsafe_calls_abroad() {
     let settings = Settings { zones: 2, classes: vec![class(Effect::Unsafe)], ..Settings::example() };
-    let members = (0..6).map(|id| Member { zone: ZoneId(usize::from(id >= 3)), ..member(id) });
+    let members = (0..6).map(|id| EndpointEntry { zone: ZoneId(usize::from(id >= 3)), ..member(id) });
     let mut d = Drive::new(settings, members.collect());
     let abroad = |d: &mut Drive, home: f64| {
         let mut abroad = 0;
         for n in 0..400 {
-            let answer = |up: UpstreamId| (Outcome::Ok, ms(30), load(if up.0 < 3 { home } else { 3.0 }));
+            let answer = |up: EndpointId| (Outcome::Ok, ms(30), load(if up.0 < 3 { home } else { 3.0 }));
             let to = d.call(0, answer).expect("someone takes it");
             abroad += u32::from(n >= 200 && to.0 >= 3);
             d.pass(ms(10));
@@ -351,7 +351,7 @@
     let waits = |rank: u64| {
         let mut b = Balancer::new(settings.clone(), rank).unwrap();
         let mut actions = Vec::new();
-        b.handle(ms(1), Event::DiscoveryRefused, &mut actions);
+        b.handle(ms(1), Event::DiscoveryFailed, &mut actions);
         let wait = actions.iter().find_map(|a| match a {
             Action::SetTimer { after, timer: Timer::Subscribe } => Some(*after),
             _ => None,
@@ -366,16 +366,16 @@
     );
     let mut d = Drive::new(settings, vec![member(0)]);
     for _ in 0..20 {
-        assert!(!d.tell(Event::DiscoveryRefused).contains(&Action::Subscribe));
+        assert!(!d.tell(Event::DiscoveryFailed).contains(&Action::Subscribe));
         let asked = d.pass(Duration::from_secs(4)).contains(&Action::Subscribe);
         assert!(asked, "however often it was refused, it asks before unheard news counts as told");
     }
 }
 
-/// Which of `count` upstreams in `zones` zones each of `instances` balancers reaches at quiet times.
+/// Which of `count` endpoints in `zones` zones each of `instances` balancers reaches at quiet times.
 fn reach(instances: u32, count: u32, zones: usize) -> Vec<std::collections::BTreeSet<u32>> {
-    let members: Vec<Member> =
-        (0..count).map(|id| Member { zone: ZoneId(id as usize % zones), ..member(id) }).collect();
+    let members: Vec<EndpointEntry> =
+        (0..count).map(|id| EndpointEntry { zone: ZoneId(id as usize % zones), ..member(id) }).collect();
     let one = |rank: u32| {
         let zone = ZoneId(rank as usize % zones);
         let mut d =
@@ -405,7 +405,7 @@
 #[test]
 fn a_part_of_the_list_moves_little_with_the_list_and_grows_where_it_is_cold() {
     let settings = Settings { instances: 100, rank: 7, ..Settings::example() };
-    let rows = |members: Vec<Member>, now: Option<Time>| -> std::collections::BTreeSet<u32> {
+    let rows = |members: Vec<EndpointEntry>, now: Option<Time>| -> std::collections::BTreeSet<u32> {
         let mut d = Drive::new(settings.clone(), members);
         if let Some(now) = now {
             d.now = now;
@@ -421,7 +421,7 @@
     assert!(whole.intersection(&less).count() + 2 >= whole.len(), "{whole:?} {less:?}");
     // All have just started: each counts for the share of it that is up.
     let start = Duration::from_secs(100);
-    let cold = (0..40).map(|id| Member { started: Some(start), ..member(id) }).collect();
+    let cold = (0..40).map(|id| EndpointEntry { started: Some(start), ..member(id) }).collect();
     let cold = rows(cold, Some(start + ms(10)));
     assert!(cold.len() > whole.len(), "{whole:?} {cold:?}");
 }
@@ -455,18 +455,18 @@
 fn the_last_that_serves_gets_the_calls_though_the_list_still_names_those_that_died() {
     let settings = Settings { weights: WeightKind::Size, ..Settings::example() };
     let weight = |id| if id < 3 { 2.0 } else { 1.0 };
-    let members = (0..4).map(|id| Member { weight: weight(id), ..member(id) });
+    let members = (0..4).map(|id| EndpointEntry { weight: weight(id), ..member(id) });
     let mut d = Drive::new(settings, members.collect());
     let mut spent = 0;
     for n in 0..400 {
         let (id, actions) = d.ask(0, ms(2000));
         let (mut to, mut attempt) = (sent(&actions), 0);
-        while let Some(upstream) = to {
+        while let Some(endpoint) = to {
             // Three die one after the other; their last reports stay low, as nobody hears of them again.
-            let good = upstream.0 == 3 || n < 50 * (upstream.0 + 1);
+            let good = endpoint.0 == 3 || n < 50 * (endpoint.0 + 1);
             spent += u32::from(n >= 250);
-            let (outcome, report) = if good { (Outcome::Ok, load(4.0)) } else { (Outcome::Full, None) };
-            to = sent(&d.end_with(id, attempt, upstream, outcome, ms(20), report));
+            let (outcome, report) = if good { (Outcome::Ok, load(4.0)) } else { (Outcome::Rejected, None) };
+            to = sent(&d.end_with(id, attempt, endpoint, outcome, ms(20), report));
             attempt += 1;
         }
         d.pass(ms(30));
@@ -478,13 +478,13 @@
 fn what_is_gone_leaves_the_table() {
     let mut d = Drive::new(Settings::example(), (0..3).map(member).collect());
     for id in 3..200 {
-        let gone = Member { state: State::Gone, ..member(id - 3) };
-        d.tell(Event::Members { scope: ListScope::Changes, entries: vec![gone, member(id)] });
+        let gone = EndpointEntry { state: EndpointState::Removed, ..member(id - 3) };
+        d.tell(Event::EndpointList { scope: ListScope::Changes, entries: vec![gone, member(id)] });
         for _ in 0..20 {
             assert!(d.call(0, |_| (Outcome::Ok, ms(30), load(1.0))).expect("taken").0 + 3 > id);
             d.pass(ms(50));
         }
-        assert!(d.balancer.listed() <= 3 + 20, "{} after {id}", d.balancer.listed());
+        assert!(d.balancer.endpoint_count() <= 3 + 20, "{} after {id}", d.balancer.endpoint_count());
     }
 }
 
@@ -506,18 +506,24 @@
 #[test]
 fn few_calls_of_a_tenant_are_no_proof_that_it_is_over_its_share() {
     // In a jam, those over their share are refused long before the others.
-    let settings = |over_share_worth| {
+    let settings = |over_quota_value| {
         let tenants = vec![Tenant { quota_per_s: 30.0 }; 10];
-        Settings { tiers: 2, instances: 100, tenants, over_share_worth, ..Settings::example() }
+        Settings { tiers: 2, instances: 100, tenants, over_quota_value, ..Settings::example() }
     };
-    let taken = |over_share_worth, tenant_of: fn(u32) -> usize| {
-        let mut d = Drive::new(settings(over_share_worth), (0..5).map(member).collect());
+    let taken = |over_quota_value, tenant_of: fn(u32) -> usize| {
+        let mut d = Drive::new(settings(over_quota_value), (0..5).map(member).collect());
         let mut taken = 0;
         for n in 0..120 {
             let (request, class) = (RequestId(n.into()), ClassId(0));
             let tenant = Some(TenantId(tenant_of(n)));
-            let actions =
-                d.tell(Event::Request { request, class, tenant, left: ms(2000), hint: None, repeat: false });
+            let actions = d.tell(Event::Request {
+                request,
+                class,
+                tenant,
+                time_left: ms(2000),
+                work_hint: None,
+                client_retry: false,
+            });
             d.pass(ms(200));
             if let Some(to) = sent(&actions) {
                 taken += u32::from(n >= 40);
@@ -571,13 +577,13 @@
 #[test]
 fn what_runs_long_on_an_upstream_that_answers_is_left_to_run() {
     let mut settings = Settings::example();
-    settings.limits.second_copies = false;
+    settings.limits.hedging = false;
     let mut d = Drive::new(settings, (0..2).map(member).collect());
     for _ in 0..40 {
         d.call(0, |_| (Outcome::Ok, ms(30), load(1.0)));
         d.pass(ms(20));
     }
-    // Long by its own work: the others that its upstream gets meanwhile are answered as ever.
+    // Long by its own work: the others that its endpoint gets meanwhile are answered as ever.
     let (long, actions) = d.ask(0, ms(2000));
     let to = sent(&actions).expect("someone takes it");
     for _ in 0..40 {
@@ -591,7 +597,7 @@
 #[test]
 fn a_late_attempt_goes_elsewhere_where_copies_are_forbidden_within_the_budget() {
     let mut settings = Settings::example();
-    settings.limits.second_copies = false;
+    settings.limits.hedging = false;
     let mut d = Drive::new(settings, (0..4).map(member).collect());
     for _ in 0..40 {
         d.call(0, |_| (Outcome::Ok, ms(30), load(1.0)));
@@ -674,7 +680,7 @@
     let settings =
         Settings { classes: vec![class(Effect::Unsafe), class(Effect::Safe)], ..Settings::example() };
     let mut d = Drive::new(settings, vec![member(0)]);
-    let closes = |actions: &[Action]| actions.contains(&Action::Close(UpstreamId(0)));
+    let closes = |actions: &[Action]| actions.contains(&Action::CloseIdle(EndpointId(0)));
     let round = |d: &mut Drive, dies: bool| {
         // An unsafe call after a second without use, then a safe one after another second.
         let mut renewed = false;
@@ -702,11 +708,11 @@
     assert!(!round(&mut d, false), "those have shown that it is over");
 }
 
-fn budgeted(free: f64, ratio: f64) -> Settings {
+fn budgeted(min_retries: f64, ratio: f64) -> Settings {
     let mut settings = Settings::example();
-    let look_back = Duration::from_secs(2);
-    settings.rules.retry_budget = Some(RetryBudget { free, ratio, look_back });
-    settings.limits.second_copies = false;
+    let window = Duration::from_secs(2);
+    settings.rules.retry_budget = Some(RetryBudget { min_retries, ratio, window });
+    settings.limits.hedging = false;
     settings
 }
 
@@ -716,8 +722,8 @@
     for _ in 0..asks {
         let (id, actions) = d.ask(0, ms(2000));
         let (mut to, mut n) = (sent(&actions), 0);
-        while let Some(upstream) = to {
-            to = sent(&d.end(id, n, upstream, outcome, ms(1)));
+        while let Some(endpoint) = to {
+            to = sent(&d.end(id, n, endpoint, outcome, ms(1)));
             at.extend(to.map(|_| d.now));
             n += 1;
         }
@@ -761,7 +767,7 @@
     for class in [class(Effect::Safe), class(Effect::Unsafe)] {
         let mut d =
             Drive::new(Settings { classes: vec![class], ..budgeted(0.0, 0.0) }, (0..6).map(member).collect());
-        for outcome in [Outcome::ConnectFailed, Outcome::Error, Outcome::Timeout, Outcome::Full] {
+        for outcome in [Outcome::ConnectFailed, Outcome::Error, Outcome::Timeout, Outcome::Rejected] {
             assert!(further(&mut d, 20, 30, outcome).is_empty());
         }
         let (id, actions) = d.ask(0, ms(2000));
@@ -782,22 +788,22 @@
         let (id, actions) = d.ask(0, ms(2000));
         let actions = d.end(id, 0, sent(&actions).expect("taken"), Outcome::ConnectFailed, ms(1));
         let to = sent(&actions).expect("the moot ones before have left the window");
-        d.end(id, 1, to, Outcome::Moot, ms(1));
+        d.end(id, 1, to, Outcome::NotSent, ms(1));
     }
 }
 
 #[test]
 fn where_draining_binds_alone_a_list_that_empties_leaves_service_up() {
     let mut settings = Settings::example();
-    settings.rules.drain_binds_alone = true;
+    settings.rules.use_removed_endpoints = true;
     let mut d = Drive::new(settings, (0..4).map(member).collect());
-    let list = |scope, entries| Event::Members { scope, entries };
-    d.tell(list(ListScope::Changes, vec![Member { state: State::Draining, ..member(0) }]));
+    let list = |scope, entries| Event::EndpointList { scope, entries };
+    d.tell(list(ListScope::Changes, vec![EndpointEntry { state: EndpointState::Draining, ..member(0) }]));
     d.tell(list(ListScope::Complete, vec![]));
     let mut seen = [0; 4];
     for n in 0..200 {
         // The third of them is really gone.
-        let answer = |up: UpstreamId| match up.0 {
+        let answer = |up: EndpointId| match up.0 {
             2 => (Outcome::ConnectFailed, ms(1), None),
             _ => (Outcome::Ok, ms(30), load(2.0)),
         };
@@ -808,7 +814,7 @@
     assert_eq!(seen[0], 0, "what was seen draining gets nothing, also once it has left the list");
     assert!(seen[2] <= 8 && seen[1] > 40 && seen[3] > 40, "own answers tell who is gone: {seen:?}");
     d.tell(list(ListScope::Changes, vec![member(0)]));
-    assert!((0..20).any(|_| d.call(0, |_| (Outcome::Ok, ms(30), None)) == Some(UpstreamId(0))), "back");
+    assert!((0..20).any(|_| d.call(0, |_| (Outcome::Ok, ms(30), None)) == Some(EndpointId(0))), "back");
     let mut d = Drive::new(Settings::example(), (0..4).map(member).collect());
     d.tell(list(ListScope::Complete, vec![]));
     assert!(refused(&d.ask(0, ms(2000)).1), "elsewhere the list binds");
@@ -817,9 +823,9 @@
 #[test]
 fn trouble_with_most_upstreams_ejects_them_until_it_is_over() {
     let mut d = Drive::new(Settings::example(), (0..8).map(member).collect());
-    let bad = |up: UpstreamId| up.0 < 5;
+    let bad = |up: EndpointId| up.0 < 5;
     let one_sided = |up| if bad(up) { (Outcome::Error, ms(30), None) } else { (Outcome::Ok, ms(30), None) };
-    let share = |d: &mut Drive, answer: &dyn Fn(UpstreamId) -> (Outcome, Duration, Option<Report>)| {
+    let share = |d: &mut Drive, answer: &dyn Fn(EndpointId) -> (Outcome, Duration, Option<LoadReport>)| {
         (0..300)
             .filter(|_| {
                 d.pass(ms(10));
@@ -840,10 +846,10 @@
     let abroad = |price: f64| {
         let mut settings = Settings { zones: 2, ..Settings::example() };
         settings.prices.cross_zone = price;
-        let members = (0..6).map(|id| Member { zone: ZoneId(usize::from(id >= 3)), ..member(id) });
+        let members = (0..6).map(|id| EndpointEntry { zone: ZoneId(usize::from(id >= 3)), ..member(id) });
         let mut d = Drive::new(settings, members.collect());
         // Home is somewhat more loaded than abroad.
-        let answer = |up: UpstreamId| (Outcome::Ok, ms(30), load(if up.0 < 3 { 5.0 } else { 4.0 }));
+        let answer = |up: EndpointId| (Outcome::Ok, ms(30), load(if up.0 < 3 { 5.0 } else { 4.0 }));
         (0..600)
             .filter(|_| {
                 d.pass(ms(10));
@@ -860,11 +866,11 @@
     let idle_abroad = |home: f64| {
         let mut settings = Settings { zones: 2, ..Settings::example() };
         settings.prices.cross_zone = 0.05;
-        let members = (0..4).map(|id| Member { zone: ZoneId(usize::from(id >= 2)), ..member(id) });
+        let members = (0..4).map(|id| EndpointEntry { zone: ZoneId(usize::from(id >= 2)), ..member(id) });
         let mut d = Drive::new(settings, members.collect());
         // Abroad one holds nothing and the other far more than home.
         let answer =
-            |up: UpstreamId| (Outcome::Ok, ms(30), load([home, home, 0.0, 5.0 * home][up.0 as usize]));
+            |up: EndpointId| (Outcome::Ok, ms(30), load([home, home, 0.0, 5.0 * home][up.0 as usize]));
         (0..900)
             .filter(|_| {
                 d.pass(ms(10));
@@ -879,7 +885,7 @@
 #[test]
 fn what_breaks_soon_after_its_send_again_is_stopped_and_what_dies_along_with_it_goes_on() {
     let mut settings = Settings::example();
-    (settings.limits.second_copies, settings.limits.cancel) = (false, false);
+    (settings.limits.hedging, settings.limits.cancel) = (false, false);
     let mut d = Drive::new(settings, (0..6).map(member).collect());
     for _ in 0..80 {
         d.call(0, |_| (Outcome::Ok, ms(100), load(1.0)));
@@ -900,7 +906,14 @@
     }
     // A client's repeat is stopped at once.
     let (request, class) = (RequestId(5000), ClassId(0));
-    let event = Event::Request { request, class, tenant: None, left: ms(2000), hint: None, repeat: true };
+    let event = Event::Request {
+        request,
+        class,
+        tenant: None,
+        time_left: ms(2000),
+        work_hint: None,
+        client_retry: true,
+    };
     let to = sent(&d.tell(event)).expect("taken");
     d.pass(ms(5));
     assert!(sent(&d.end(request, 0, to, Outcome::Reset, ms(5))).is_none());
@@ -915,12 +928,12 @@
         let (id, actions) = d.ask(0, ms(2000));
         let mut to = sent(&actions);
         let mut attempt = 0;
-        while to == Some(UpstreamId(2)) {
+        while to == Some(EndpointId(2)) {
             failed += u32::from(n >= 20);
-            to = sent(&d.end(id, attempt, UpstreamId(2), Outcome::ConnectFailed, ms(1)));
+            to = sent(&d.end(id, attempt, EndpointId(2), Outcome::ConnectFailed, ms(1)));
             // Its probes are fine all the while.
-            let upstream = UpstreamId(2);
-            d.tell(Event::Probed { upstream, outcome: Outcome::Ok, latency: ms(1), report: load(0.0) });
+            let endpoint = EndpointId(2);
+            d.tell(Event::Probed { endpoint, outcome: Outcome::Ok, latency: ms(1), report: load(0.0) });
             attempt += 1;
         }
         d.end_with(id, attempt, to.expect("the others take it"), Outcome::Ok, ms(30), load(3.0));
@@ -931,7 +944,7 @@
 
 #[test]
 fn full_upstreams_press_low_worth_out_before_high_worth() {
-    let (low, high) = (class(Effect::Safe), Class { worth: 10.0, ..class(Effect::Safe) });
+    let (low, high) = (class(Effect::Safe), RequestClass { value: 10.0, ..class(Effect::Safe) });
     let settings = Settings { classes: vec![low, high], tiers: 2, ..Settings::example() };
     let mut d = Drive::new(settings, (0..5).map(member).collect());
     let mut taken = [0; 2];
@@ -940,10 +953,11 @@
         let (id, actions) = d.ask(class, ms(2000));
         let (mut to, mut attempt) = (sent(&actions), 0);
         taken[class] += u32::from(n >= 200 && to.is_some());
-        while let Some(upstream) = to {
+        while let Some(endpoint) = to {
             // Three of four attempts are turned away at once, the others are quick.
-            let outcome = if (n + attempt as usize).is_multiple_of(4) { Outcome::Ok } else { Outcome::Full };
-            to = sent(&d.end_with(id, attempt, upstream, outcome, ms(20), load(4.0)));
+            let outcome =
+                if (n + attempt as usize).is_multiple_of(4) { Outcome::Ok } else { Outcome::Rejected };
+            to = sent(&d.end_with(id, attempt, endpoint, outcome, ms(20), load(4.0)));
             attempt += 1;
         }
         d.pass(ms(10));
@@ -958,21 +972,21 @@
     assert_eq!(field(Settings { classes: vec![], ..base() }), Some("classes"));
     assert_eq!(field(Settings { tier: 1, ..base() }), Some("tier"));
     assert_eq!(field(Settings { zone: ZoneId(1), ..base() }), Some("zone"));
-    assert_eq!(field(Settings { over_share_worth: -1.0, ..base() }), Some("over_share_worth"));
+    assert_eq!(field(Settings { over_quota_value: -1.0, ..base() }), Some("over_quota_value"));
     let mut settings = base();
-    settings.classes[0].worth = f64::NAN;
-    assert_eq!(field(settings), Some("classes.worth"));
+    settings.classes[0].value = f64::NAN;
+    assert_eq!(field(settings), Some("classes.value"));
     let mut settings = base();
-    settings.rules.let_go = Some(Duration::ZERO);
-    assert_eq!(field(settings), Some("rules.let_go"));
-    for (free, ratio, look_back, name) in [
-        (-1.0, 0.1, 1, "rules.retry_budget.free"),
+    settings.rules.close_idle_within = Some(Duration::ZERO);
+    assert_eq!(field(settings), Some("rules.close_idle_within"));
+    for (min_retries, ratio, window, name) in [
+        (-1.0, 0.1, 1, "rules.retry_budget.min_retries"),
         (1.0, f64::NAN, 1, "rules.retry_budget.ratio"),
-        (1.0, 0.1, 0, "rules.retry_budget.look_back"),
+        (1.0, 0.1, 0, "rules.retry_budget.window"),
     ] {
         let mut settings = base();
-        let look_back = Duration::from_secs(look_back);
-        settings.rules.retry_budget = Some(RetryBudget { free, ratio, look_back });
+        let window = Duration::from_secs(window);
+        settings.rules.retry_budget = Some(RetryBudget { min_retries, ratio, window });
         assert_eq!(field(settings), Some(name));
     }
     assert_eq!(field(base()), None);
@@ -987,12 +1001,12 @@
     d.end(id, 0, to, Outcome::Ok, ms(1));
     for _ in 0..2 {
         assert!(d.end(id, 0, to, Outcome::Error, ms(1)).is_empty());
-        assert!(d.tell(Event::Withdrawn(id)).is_empty());
-        assert!(d.tell(Event::Timer(Timer::Request(id))).is_empty());
+        assert!(d.tell(Event::ClientDisconnected(id)).is_empty());
+        assert!(d.tell(Event::Timer(Timer::SlowRequest(id))).is_empty());
     }
-    assert!(d.end(RequestId(999), 3, UpstreamId(77), Outcome::Ok, ms(1)).is_empty());
+    assert!(d.end(RequestId(999), 3, EndpointId(77), Outcome::Ok, ms(1)).is_empty());
     d.tell(Event::Probed {
-        upstream: UpstreamId(55),
+        endpoint: EndpointId(55),
         outcome: Outcome::Ok,
         latency: ms(1),
         report: load(1.0),
@@ -1003,9 +1017,9 @@
         request,
         class,
         tenant: Some(TenantId(9)),
-        left: ms(0),
-        hint: Some(ms(0)),
-        repeat: true,
+        time_left: ms(0),
+        work_hint: Some(ms(0)),
+        client_retry: true,
     });
 }
 
@@ -1045,12 +1059,12 @@
 }
 
 /// The time that the first attempt of a request with 474 ms left is given.
-fn first_timeout(tier: usize, late_value: f64, aim_stretch: f64) -> Duration {
+fn first_timeout(tier: usize, late_value: f64, target_latency_work_factor: f64) -> Duration {
     let mut settings = Settings::example();
     (settings.tier, settings.tiers) = (tier, 2);
     let class = &mut settings.classes[0];
-    (class.aim, class.deadline) = (ms(150), ms(500));
-    (class.late_value, class.aim_stretch) = (late_value, aim_stretch);
+    (class.target_latency, class.deadline) = (ms(150), ms(500));
+    (class.late_value, class.target_latency_work_factor) = (late_value, target_latency_work_factor);
     let (_, actions) = Drive::new(settings, vec![member(0), member(1)]).ask(0, ms(474));
     let timeout = actions.iter().find_map(|action| match action {
         Action::Send { timeout, .. } => Some(*timeout),
@@ -1071,9 +1085,9 @@
     );
 }
 
-/// The list can be relied on for a second, and what an upstream took for two.
+/// The list can be relied on for a second, and what an endpoint took for two.
 fn trust() -> Event {
-    Event::Trust(Some(Trust { list_for: ms(1000), accepted_for: ms(2000) }))
+    Event::ListValidity(Some(ListValidity { list_valid_for: ms(1000), accepted_valid_for: ms(2000) }))
 }
 
 #[test]
@@ -1081,8 +1095,8 @@
     let mut d = Drive::new(Settings::example(), (0..3).map(member).collect());
     d.tell(trust());
     d.pass(ms(900));
-    let serves = |up: UpstreamId| match up.0 {
-        0 => (Outcome::Full, ms(1), None),
+    let serves = |up: EndpointId| match up.0 {
+        0 => (Outcome::Rejected, ms(1), None),
         _ => (Outcome::Ok, ms(20), None),
     };
     for _ in 0..6 {
@@ -1090,7 +1104,7 @@
     }
     d.pass(ms(200));
     for _ in 0..20 {
-        assert_ne!(d.call(0, serves), Some(UpstreamId(0)), "it turned the last one away");
+        assert_ne!(d.call(0, serves), Some(EndpointId(0)), "it turned the last one away");
     }
     d.pass(ms(2100));
     let (_, actions) = d.ask(0, ms(2000));
--- a/crates/platformfaults/src/defects.rs
+++ b/crates/platformfaults/src/defects.rs
@@ -1,6 +1,6 @@
 //! Deliberate defects round a sidecar's own carrier: what the judge must find.
 
-use cometcroft::{Outcome, UpstreamId};
+use cometcroft::{EndpointId, Outcome};
 use cometcroft_platform::Platform;
 use cometcroft_sidecar::dispatch::Payload;
 use cometcroft_sidecar::exchange::{Reply, Rest};
@@ -64,7 +64,7 @@
 
     fn dispatch(
         &self,
-        to: UpstreamId,
+        to: EndpointId,
         payload: Rc<Payload>,
         timeout: Duration,
         latest: Option<Instant>,
@@ -105,11 +105,11 @@
         }
     }
 
-    fn probe(&self, to: UpstreamId) -> Later<Probed> {
+    fn probe(&self, to: EndpointId) -> Later<Probed> {
         self.inner.probe(to)
     }
 
-    fn close_idle(&self, to: UpstreamId) {
+    fn close_idle(&self, to: EndpointId) {
         self.inner.close_idle(to);
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -48,7 +48,7 @@
     }
 
     /// Writes a value down in a report.
-    pub fn set(self, report: &mut Report, value: f64) {
+    pub fn set(self, report: &mut LoadReport, value: f64) {
         match self {
             Field::Inflight => report.inflight = Some(value),
             Field::Queue => report.queue = Some(value),
@@ -123,7 +123,7 @@
     }
 }
 
-fn parse_class(value: &Value) -> Result<Class, String> {
+fn parse_class(value: &Value) -> Result<RequestClass, String> {
     let class = Group { value, place: "request-classes." };
     let effect = match class.text("effect")? {
         "read_like" => Effect::Safe,
@@ -139,12 +139,12 @@
         }
         word => return Err(format!("setting request-classes.effect is unknown: {word:?}")),
     };
-    Ok(Class {
-        aim: class.time("slo-ns")?,
-        aim_stretch: class.number("aim-stretch", Some(0.0))?,
+    Ok(RequestClass {
+        target_latency: class.time("slo-ns")?,
+        target_latency_work_factor: class.number("aim-stretch", Some(0.0))?,
         deadline: class.time("deadline-ns")?,
         effect,
-        worth: class.number("worth", None)?,
+        value: class.number("worth", None)?,
         late_value: class.number("late-value", Some(0.0))?,
     })
 }
@@ -156,9 +156,9 @@
         return Ok(None);
     }
     Ok(Some(RetryBudget {
-        free: rules.number("budget-free", None)?,
+        min_retries: rules.number("budget-free", None)?,
         ratio: rules.number("extra-ratio", None)?,
-        look_back: rules.time("look-back-ns")?,
+        window: rules.time("look-back-ns")?,
     }))
 }
 
@@ -188,29 +188,36 @@
         tiers: top.list("tiers")?.len(),
         zone: ZoneId(top.whole("zone")?),
         zones: top.list("dcs")?.len(),
-        passes_deadline: value.pointer("/domain/passes-deadline").and_then(Value::as_bool).unwrap_or(false),
-        step: top.time("step-ns")?,
+        propagates_deadline: value
+            .pointer("/domain/passes-deadline")
+            .and_then(Value::as_bool)
+            .unwrap_or(false),
+        host_tick: top.time("step-ns")?,
         classes: top.list("request-classes")?.iter().map(parse_class).collect::<Result<_, _>>()?,
         tenants: accounts.iter().map(tenant).collect::<Result<_, _>>()?,
-        over_share_worth: top.number("over-share-worth", Some(1.0))?,
+        over_quota_value: top.number("over-share-worth", Some(1.0))?,
         limits: Limits {
             cancel: limits.flag("cancel"),
             probes: limits.flag("probes"),
-            second_copies: limits.flag("second-copies"),
+            hedging: limits.flag("second-copies"),
             max_attempts: limits.whole("max-attempts")? as u32,
             retry_after: limits.flag("retry-after"),
             max_retry_after: limits.time("max-retry-after-ns")?,
         },
         rules: Rules {
-            cold_from: rules.number("cold-from", None)?,
+            cold_capacity: rules.number("cold-from", None)?,
             ramp: rules.time("ramp-time-ns")?,
-            fall_multiple: rules.number("fall-multiple", None)?,
-            fall_after: rules.time("tip-after-ns")?,
+            overload_factor: rules.number("fall-multiple", None)?,
+            overload_after: rules.time("tip-after-ns")?,
             drain_grace: rules.time("drain-grace-ns")?,
-            ask_within: rules.time("ask-within-ns").unwrap_or(Duration::MAX),
+            resubscribe_within: rules.time("ask-within-ns").unwrap_or(Duration::MAX),
             retry_budget: parse_budget(&rules)?,
-            drain_binds_alone: rules.switch("drain-binds-alone")?,
-            let_go: rules.value.get("let-go-in-ns").map(|_| rules.time("let-go-in-ns")).transpose()?,
+            use_removed_endpoints: rules.switch("drain-binds-alone")?,
+            close_idle_within: rules
+                .value
+                .get("let-go-in-ns")
+                .map(|_| rules.time("let-go-in-ns"))
+                .transpose()?,
         },
         prices: Prices {
             probe: prices.number("probe", Some(0.0))?,
@@ -218,7 +225,7 @@
             cross_zone: prices.number("cross-zone", Some(0.0))?,
         },
         reports: match report.text("source")? {
-            "piggyback" => ReportSource::Answers,
+            "piggyback" => ReportSource::Responses,
             "pull" => ReportSource::Probes,
             "silent" => ReportSource::None,
             word => return Err(format!("setting report.source is unknown: {word:?}")),
--- a/crates/sidecar/src/backend.rs
+++ b/crates/sidecar/src/backend.rs
@@ -4,7 +4,7 @@
 use crate::dial::{self, AttemptDelay};
 use crate::fleet::Fleet;
 use crate::sockets::send_promptly;
-use cometcroft::UpstreamId;
+use cometcroft::EndpointId;
 use cometcroft_platform::{Platform, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
 /// All connections to backend servers.
 pub struct Pool<P: Platform> {
     platform: P,
-    idle: RefCell<BTreeMap<UpstreamId, Vec<Idle<P::Stream>>>>,
+    idle: RefCell<BTreeMap<EndpointId, Vec<Idle<P::Stream>>>>,
     taken: Cell<usize>,
     most: usize,
     keep: Cell<Duration>,
@@ -81,7 +81,7 @@
     /// A connection to a backend server: the one used last, if any is sound, or a new one.
     pub async fn get(
         self: &Rc<Self>,
-        to: UpstreamId,
+        to: EndpointId,
         address: SocketAddr,
         until: Instant,
     ) -> io::Result<Lease<P>> {
@@ -136,7 +136,7 @@
         self.taken.get() + self.idle_count() < self.most
     }
 
-    fn reuse(&self, to: UpstreamId, address: SocketAddr) -> Option<P::Stream> {
+    fn reuse(&self, to: EndpointId, address: SocketAddr) -> Option<P::Stream> {
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&to)?;
         kept.retain(|c| c.address == address && self.platform.since(c.since) < self.keep.get());
@@ -153,14 +153,14 @@
     }
 
     /// Keeps a connection whose answer has been read whole.
-    pub fn put(&self, to: UpstreamId, lease: Lease<P>) {
+    pub fn put(&self, to: EndpointId, lease: Lease<P>) {
         let Lease { stream, address, .. } = lease;
         let idle = Idle { stream, address, since: self.platform.now() };
         self.idle.borrow_mut().entry(to).or_default().push(idle);
     }
 
     /// Closes the idle connections to a backend server.
-    pub fn close_idle(&self, to: UpstreamId) {
+    pub fn close_idle(&self, to: EndpointId) {
         self.idle.borrow_mut().remove(&to);
     }
 
--- a/crates/sidecar/src/classes.rs
+++ b/crates/sidecar/src/classes.rs
@@ -1,6 +1,6 @@
 //! The classes in force and those on their way out: which number a request's class has. No I/O.
 
-use cometcroft::{Class, ClassId, Effect};
+use cometcroft::{ClassId, Effect, RequestClass};
 use std::time::{Duration, Instant};
 
 /// For so long around a change requests come in the old form and in the new. New settings are in use after 1.2 s, and
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone)]
 struct Slot {
     name: String,
-    class: Class,
+    class: RequestClass,
     /// Since when it is on its way out.
     retired: Option<Instant>,
     /// Stands for requests whose form is that of neither; it is found by no form of its own.
@@ -68,14 +68,14 @@
 
 impl Register {
     /// A register of these classes, numbered in their order.
-    pub fn new(names: &[String], classes: &[Class]) -> Register {
+    pub fn new(names: &[String], classes: &[RequestClass]) -> Register {
         let slots = names.iter().zip(classes).map(|(name, class)| Slot::of(name, class.clone()));
         Register { slots: slots.collect() }
     }
 
     /// New settings: these classes are in force from `now` on. For each number, the one that it continues: itself where
     /// nothing changes, the class of its name as it was before, or none.
-    pub fn take(&mut self, names: &[String], classes: &[Class], now: Instant) -> Vec<Option<ClassId>> {
+    pub fn take(&mut self, names: &[String], classes: &[RequestClass], now: Instant) -> Vec<Option<ClassId>> {
         let before = self.slots.len();
         let mut from: Vec<_> = (0..before).map(|number| Some(ClassId(number))).collect();
         for (number, slot) in self.slots.iter_mut().enumerate().filter(|(_, s)| s.retired.is_none()) {
@@ -96,7 +96,7 @@
             let pair = changed.map(|effect| strictness(effect) + strictness(class.effect));
             if pair == Some(1) {
                 // Danger: one that comes without a key while its class asks for keys is repeated by nobody's leave.
-                let class = Class { effect: Effect::Unsafe, ..class.clone() };
+                let class = RequestClass { effect: Effect::Unsafe, ..class.clone() };
                 let slot = Slot { retired: Some(now), interim: true, ..Slot::of(name, class) };
                 self.place(slot, old.map(ClassId), &mut from, now);
             }
@@ -148,7 +148,7 @@
     }
 
     /// All classes by number, those on their way out too.
-    pub fn classes(&self) -> Vec<Class> {
+    pub fn classes(&self) -> Vec<RequestClass> {
         self.slots.iter().map(|slot| slot.class.clone()).collect()
     }
 
@@ -159,7 +159,7 @@
 }
 
 impl Slot {
-    fn of(name: &str, class: Class) -> Slot {
+    fn of(name: &str, class: RequestClass) -> Slot {
         Slot { name: name.to_owned(), class, retired: None, interim: false, held: 0 }
     }
 }
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -117,7 +117,7 @@
         module.limits.retry_after = true;
         // The session table has one dispatch of a session out at most. Danger: a module that may send second copies has
         // them declined, which uses up attempts, and never moves a request away from a backend server that is silent.
-        module.limits.second_copies = false;
+        module.limits.hedging = false;
         module.validate().map_err(|e| bad("settings", e))?;
         let sockets = value.pointer("/limits/sockets").and_then(Value::as_u64).unwrap_or(1024);
         if sockets < 64 {
--- a/crates/sidecar/src/directory.rs
+++ b/crates/sidecar/src/directory.rs
@@ -23,7 +23,7 @@
     /// When it started, as discovery told it.
     since_ms: i64,
     /// As discovery told it.
-    told: Member,
+    told: EndpointEntry,
     /// What the fleet's plan says of it.
     verdict: Verdict,
     /// When the last request began that it took since it started.
@@ -32,7 +32,7 @@
 
 impl Entry {
     fn is_open(&self) -> bool {
-        self.told.state == State::Ready && self.verdict != Verdict::Out
+        self.told.state == EndpointState::Ready && self.verdict != Verdict::Out
     }
 }
 
@@ -43,8 +43,8 @@
 /// one, may bar what discovery lists, and never the other way.
 pub struct Directory {
     judge: RefCell<Option<Judge>>,
-    entries: RefCell<BTreeMap<UpstreamId, Entry>>,
-    ids: RefCell<HashMap<String, UpstreamId>>,
+    entries: RefCell<BTreeMap<EndpointId, Entry>>,
+    ids: RefCell<HashMap<String, EndpointId>>,
     /// Backend servers that a list barred which has not been taken yet, by name, with its version: an older list does not
     /// open them.
     barred_ahead: RefCell<HashMap<String, i64>>,
@@ -67,7 +67,7 @@
     /// All entries, or only those that changed.
     pub scope: ListScope,
     /// The entries.
-    pub entries: Vec<Member>,
+    pub entries: Vec<EndpointEntry>,
 }
 
 /// What came of a list.
@@ -128,7 +128,7 @@
     }
 
     /// The present address of a backend server.
-    pub fn address(&self, id: UpstreamId) -> Option<SocketAddr> {
+    pub fn address(&self, id: EndpointId) -> Option<SocketAddr> {
         self.entries.borrow().get(&id).map(|e| e.address)
     }
 
@@ -143,13 +143,13 @@
     }
 
     /// What shows that a request may begin at this backend server, if it is listed as ready.
-    pub fn evidence(&self, id: UpstreamId, now: Instant) -> Result<Evidence, Lack> {
+    pub fn evidence(&self, id: EndpointId, now: Instant) -> Result<Evidence, Lack> {
         let accepted = self.entries.borrow().get(&id).and_then(|entry| entry.accepted);
         self.freshness.evidence(accepted, now)
     }
 
     /// A backend server has answered a request that began at `began`, or has turned it away.
-    pub fn answered(&self, id: UpstreamId, began: Instant, turned_away: bool, now: Instant) {
+    pub fn answered(&self, id: EndpointId, began: Instant, turned_away: bool, now: Instant) {
         self.staleness.answered(id, turned_away, now);
         if let Some(entry) = self.entries.borrow_mut().get_mut(&id) {
             let accepted = entry.accepted.map_or(began, |accepted| accepted.max(began));
@@ -173,12 +173,12 @@
     }
 
     /// Whether a request may be begun there.
-    pub fn open(&self, id: UpstreamId) -> bool {
+    pub fn open(&self, id: EndpointId) -> bool {
         self.entries.borrow().get(&id).is_some_and(Entry::is_open)
     }
 
     /// Whether a request may be begun there over a connection to this address.
-    pub fn open_at(&self, id: UpstreamId, address: SocketAddr) -> bool {
+    pub fn open_at(&self, id: EndpointId, address: SocketAddr) -> bool {
         self.entries.borrow().get(&id).is_some_and(|entry| entry.is_open() && entry.address == address)
     }
 
@@ -206,14 +206,16 @@
 
     /// Of these records, takes only what bars a backend server that is known and open, and hands it on. They belong to a
     /// list of this version, if that is known, of which more may come; until it is taken, an older list opens none of them.
-    pub fn bar(&self, records: &[EndpointRecord], index: Option<i64>) -> Vec<Member> {
+    pub fn bar(&self, records: &[EndpointRecord], index: Option<i64>) -> Vec<EndpointEntry> {
         let barring: Vec<&EndpointRecord> = records.iter().filter(|record| record.bars()).collect();
         self.bar_ahead(&barring, index);
         let open: Vec<EndpointRecord> = {
             let (ids, entries) = (self.ids.borrow(), self.entries.borrow());
             let is_open = |record: &&&EndpointRecord| {
                 let entry = ids.get(&record.name).and_then(|id| entries.get(id));
-                entry.is_some_and(|entry| entry.told.state == State::Ready || record.state == State::Gone)
+                entry.is_some_and(|entry| {
+                    entry.told.state == EndpointState::Ready || record.state == EndpointState::Removed
+                })
             };
             barring.iter().filter(is_open).map(|record| (*record).clone()).collect()
         };
@@ -226,7 +228,7 @@
     /// Bars what a whole list leaves out, and hands it on. The list is not taken, as its call is not waited for any more. What
     /// it leaves out is open again once a list that is taken names it; an older list does not open it, unless
     /// discovery has moved and its version says nothing (`index`: none).
-    pub fn bar_left_out(&self, list: &EndpointList, index: Option<i64>) -> Vec<Member> {
+    pub fn bar_left_out(&self, list: &EndpointList, index: Option<i64>) -> Vec<EndpointEntry> {
         let outdated = self.index.get().is_some_and(|held| index.is_some_and(|index| index < held));
         if !list.whole || outdated {
             return Vec::new();
@@ -235,15 +237,16 @@
         let (ids, mut entries) = (self.ids.borrow(), self.entries.borrow_mut());
         let mut barred = Vec::new();
         for (name, id) in ids.iter().filter(|(name, _)| !listed.contains(name.as_str())) {
-            if let Some(entry) = entries.get_mut(id).filter(|entry| entry.told.state == State::Ready) {
-                entry.told.state = State::Draining;
+            if let Some(entry) = entries.get_mut(id).filter(|entry| entry.told.state == EndpointState::Ready)
+            {
+                entry.told.state = EndpointState::Draining;
                 if let Some(index) = index {
                     self.barred_ahead.borrow_mut().insert(name.clone(), index);
                 }
                 barred.push(stricter(entry.told.clone(), entry.verdict));
             }
         }
-        barred.sort_by_key(|member| member.upstream);
+        barred.sort_by_key(|member| member.endpoint);
         barred
     }
 
@@ -261,7 +264,7 @@
         }
     }
 
-    fn book(&self, records: &[EndpointRecord], whole: bool) -> Vec<Member> {
+    fn book(&self, records: &[EndpointRecord], whole: bool) -> Vec<EndpointEntry> {
         let (mut entries, mut ids) = (self.entries.borrow_mut(), self.ids.borrow_mut());
         let barred_ahead = self.barred_ahead.borrow();
         let mut members = Vec::with_capacity(records.len());
@@ -270,8 +273,8 @@
             let barred = barred_ahead.contains_key(&record.name);
             let id = match (ids.get(&record.name), record.address) {
                 (Some(&id), _) => id,
-                (None, Some(_)) if record.state != State::Gone && !barred => {
-                    let id = UpstreamId(self.next.replace(self.next.get() + 1));
+                (None, Some(_)) if record.state != EndpointState::Removed && !barred => {
+                    let id = EndpointId(self.next.replace(self.next.get() + 1));
                     ids.insert(record.name.clone(), id);
                     id
                 }
@@ -286,8 +289,8 @@
             let started =
                 same.map_or_else(|| self.start_clock.started(record.since_ms), |entry| entry.told.started);
             let mut member = self.member(id, record, started);
-            if barred && member.state == State::Ready {
-                member.state = State::Draining;
+            if barred && member.state == EndpointState::Ready {
+                member.state = EndpointState::Draining;
             }
             let verdict = self.judged(&record.name, &member);
             if let Some(address) = record.address.or(entries.get(&id).map(|entry| entry.address)) {
@@ -295,7 +298,7 @@
                 let accepted = same.filter(|entry| entry.address == address).and_then(|entry| entry.accepted);
                 entries.insert(id, Entry { address, since_ms, told: member.clone(), verdict, accepted });
             }
-            if member.state == State::Gone {
+            if member.state == EndpointState::Removed {
                 // Nothing new goes there, and no table may grow with every machine that ever was.
                 entries.remove(&id);
                 ids.remove(&record.name);
@@ -310,11 +313,11 @@
     }
 
     /// A record as the module takes it.
-    fn member(&self, upstream: UpstreamId, record: &EndpointRecord, started: Option<Time>) -> Member {
+    fn member(&self, endpoint: EndpointId, record: &EndpointRecord, started: Option<Time>) -> EndpointEntry {
         let zones = self.zones.borrow();
         let zone = record.zone.as_ref().and_then(|zone| zones.iter().position(|z| z == zone));
-        Member {
-            upstream,
+        EndpointEntry {
+            endpoint,
             key: hash(&record.name),
             cell: CellId(record.group),
             zone: ZoneId(zone.unwrap_or(zones.len())),
@@ -329,7 +332,7 @@
         self.judge.replace(Some(judge));
     }
 
-    fn judged(&self, name: &str, member: &Member) -> Verdict {
+    fn judged(&self, name: &str, member: &EndpointEntry) -> Verdict {
         let judge = self.judge.borrow();
         let zones = self.zones.borrow();
         let zone = zones.get(member.zone.0).map_or("", String::as_str);
@@ -337,7 +340,7 @@
     }
 
     /// The plan has changed: the entries of which it now says something else, as the module takes them.
-    pub fn judge(&self) -> Vec<Member> {
+    pub fn judge(&self) -> Vec<EndpointEntry> {
         let (ids, mut entries) = (self.ids.borrow(), self.entries.borrow_mut());
         let mut changed = Vec::new();
         for (name, id) in ids.iter() {
@@ -347,28 +350,28 @@
                 changed.push(stricter(entry.told.clone(), verdict));
             }
         }
-        changed.sort_by_key(|member| member.upstream);
+        changed.sort_by_key(|member| member.endpoint);
         changed
     }
 
     /// All that is listed: name, zone, group, and whether discovery holds it to be ready.
     pub fn listed(&self) -> Vec<(String, String, usize, bool)> {
         let (ids, entries, zones) = (self.ids.borrow(), self.entries.borrow(), self.zones.borrow());
-        let row = |(name, id): (&String, &UpstreamId)| {
+        let row = |(name, id): (&String, &EndpointId)| {
             let told = &entries.get(id)?.told;
             let zone = zones.get(told.zone.0).cloned().unwrap_or_default();
-            Some((name.clone(), zone, told.cell.0, told.state == State::Ready))
+            Some((name.clone(), zone, told.cell.0, told.state == EndpointState::Ready))
         };
         ids.iter().filter_map(row).collect()
     }
 }
 
 /// What discovery told, and what the plan says of it: the stricter of both.
-fn stricter(mut member: Member, verdict: Verdict) -> Member {
+fn stricter(mut member: EndpointEntry, verdict: Verdict) -> EndpointEntry {
     match verdict {
         Verdict::Stays => {}
         Verdict::Share(share) => member.weight *= share,
-        Verdict::Out if member.state == State::Ready => member.state = State::Draining,
+        Verdict::Out if member.state == EndpointState::Ready => member.state = EndpointState::Draining,
         Verdict::Out => {}
     }
     member
--- a/crates/sidecar/src/discovery/arrivals.rs
+++ b/crates/sidecar/src/discovery/arrivals.rs
@@ -6,7 +6,7 @@
 use crate::counters::Counters;
 use crate::directory::Directory;
 use crate::endpoint_list::EndpointRecord;
-use cometcroft::Member;
+use cometcroft::EndpointEntry;
 use cometcroft_platform::Platform;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -25,7 +25,7 @@
     /// Nothing of its list has come for some time.
     Stalled(CallId),
     /// These endpoints are barred.
-    Barred(Vec<Member>),
+    Barred(Vec<EndpointEntry>),
     /// It has ended.
     Ended {
         /// Which call.
@@ -45,7 +45,7 @@
     directory: Rc<Directory>,
     report: UnboundedSender<Report<P>>,
     /// Barred, and not yet reported.
-    unreported: Vec<Member>,
+    unreported: Vec<EndpointEntry>,
     bars_reported: Option<Instant>,
     progress_reported: Option<Instant>,
     barred: bool,
--- a/crates/sidecar/src/discovery/mod.rs
+++ b/crates/sidecar/src/discovery/mod.rs
@@ -50,7 +50,10 @@
 
 impl Manner {
     fn of(settings: &Settings) -> Manner {
-        Manner { pushed: settings.discovery == Discovery::Push, ask_within: settings.rules.ask_within }
+        Manner {
+            pushed: settings.discovery == Discovery::Push,
+            ask_within: settings.rules.resubscribe_within,
+        }
     }
 }
 
@@ -232,7 +235,9 @@
                 count(&self.counters.discovery_stalled);
                 self.schedule.stalled(id, now);
             }
-            Report::Barred(entries) => self.host.tell(Event::Members { scope: ListScope::Changes, entries }),
+            Report::Barred(entries) => {
+                self.host.tell(Event::EndpointList { scope: ListScope::Changes, entries })
+            }
             Report::Ended { id, ended, barred } => self.ended(id, ended, barred),
         }
     }
@@ -321,7 +326,7 @@
                 }
                 let now = self.now();
                 self.schedule.answered(id, now);
-                self.host.tell(Event::Members { scope: news.scope, entries: news.entries });
+                self.host.tell(Event::EndpointList { scope: news.scope, entries: news.entries });
                 None
             }
             Taken::Older => {
@@ -341,7 +346,7 @@
     /// Tells the decision module how long the list may be used.
     fn tell_trust(&self) {
         let trust = self.directory.freshness().trust(self.platform.now());
-        self.host.tell(Event::Trust(trust));
+        self.host.tell(Event::ListValidity(trust));
     }
 
     /// Logs that discovery answers again, or has ceased to.
--- a/crates/sidecar/src/discovery/staleness.rs
+++ b/crates/sidecar/src/discovery/staleness.rs
@@ -1,7 +1,7 @@
 //! Evidence on whether the list held is out of date: endpoints on it that turn requests away, as draining ones do, and
 //! endpoints that serve.
 
-use cometcroft::UpstreamId;
+use cometcroft::EndpointId;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -23,16 +23,16 @@
 #[derive(Debug, Default)]
 pub struct Staleness {
     /// Those whose last answer turned a request away.
-    turned_away: RefCell<HashSet<UpstreamId>>,
+    turned_away: RefCell<HashSet<EndpointId>>,
     /// When the others last served.
-    served: RefCell<HashMap<UpstreamId, Instant>>,
+    served: RefCell<HashMap<EndpointId, Instant>>,
     confirmed: Cell<Option<Instant>>,
     suspected: Notify,
 }
 
 impl Staleness {
     /// An endpoint has answered a request, or has turned it away.
-    pub fn answered(&self, endpoint: UpstreamId, turned_away: bool, now: Instant) {
+    pub fn answered(&self, endpoint: EndpointId, turned_away: bool, now: Instant) {
         let mut endpoints = self.turned_away.borrow_mut();
         if !turned_away {
             endpoints.remove(&endpoint);
@@ -46,7 +46,7 @@
         }
     }
 
-    fn serves(&self, endpoint: UpstreamId, now: Instant) {
+    fn serves(&self, endpoint: EndpointId, now: Instant) {
         let mut served = self.served.borrow_mut();
         if served.len() >= HELD {
             served.retain(|_, at| now.saturating_duration_since(*at) <= LATELY);
--- a/crates/sidecar/src/dispatch.rs
+++ b/crates/sidecar/src/dispatch.rs
@@ -8,7 +8,7 @@
 use crate::probe;
 use crate::session::{Carrier, Ended, Later, Probed};
 use crate::upload::Upload;
-use cometcroft::{ClassId, Outcome, UpstreamId};
+use cometcroft::{ClassId, EndpointId, Outcome};
 use cometcroft_plan::Happened;
 use cometcroft_platform::Platform;
 use cometcroft_settings::Field;
@@ -54,7 +54,7 @@
 
     fn dispatch(
         &self,
-        to: UpstreamId,
+        to: EndpointId,
         payload: Rc<Payload>,
         timeout: Duration,
         latest: Option<Instant>,
@@ -75,19 +75,19 @@
         })
     }
 
-    fn probe(&self, to: UpstreamId) -> Later<Probed> {
+    fn probe(&self, to: EndpointId) -> Later<Probed> {
         let carrier = self.clone();
         Box::pin(async move {
             if carrier.fleet.as_ref().is_some_and(|fleet| !fleet.probes()) {
                 count(&carrier.exchanger.counters.probes_barred);
-                return (Outcome::Moot, None);
+                return (Outcome::NotSent, None);
             }
             let fields = carrier.fields.borrow().clone();
             probe::ask(&carrier.exchanger, &fields, to).await
         })
     }
 
-    fn close_idle(&self, to: UpstreamId) {
+    fn close_idle(&self, to: EndpointId) {
         self.exchanger.pool.close_idle(to);
     }
 }
@@ -95,19 +95,19 @@
 /// What policies on retries call an outcome.
 fn happened(outcome: Outcome) -> Option<Happened> {
     match outcome {
-        Outcome::Full => Some(Happened::Refused),
+        Outcome::Rejected => Some(Happened::Refused),
         Outcome::ConnectFailed => Some(Happened::NeverConnected),
         Outcome::Error | Outcome::Reset => Some(Happened::MayHaveRun),
         Outcome::Timeout | Outcome::Cancelled => Some(Happened::Late),
         // Never sent: what came before it counts on.
-        Outcome::Ok | Outcome::Moot => None,
+        Outcome::Ok | Outcome::NotSent => None,
     }
 }
 
 impl<P: Platform> HttpCarrier<P> {
     async fn attempt(
         &self,
-        to: UpstreamId,
+        to: EndpointId,
         payload: &Payload,
         ends: Instant,
         latest: Option<Instant>,
@@ -116,14 +116,14 @@
         let platform = self.platform();
         // Danger: a body of which a part is gone would go out with a hole; nothing is sent, and said so.
         if payload.upload.as_ref().is_some_and(Upload::spent) {
-            return Ended { outcome: Outcome::Moot, report: None, answer: None };
+            return Ended { outcome: Outcome::NotSent, report: None, answer: None };
         }
         let first = payload.begun.replace(payload.begun.get() + 1) == 0;
         if let Some(fleet) = &self.fleet
             && !fleet.attempts(&payload.request, first, payload.ended.get())
         {
             count(&self.exchanger.counters.retries_barred);
-            return Ended { outcome: Outcome::Moot, report: None, answer: None };
+            return Ended { outcome: Outcome::NotSent, report: None, answer: None };
         }
         let message = || {
             let wait = ends.saturating_duration_since(platform.now());
--- a/crates/sidecar/src/endpoint_list/record.rs
+++ b/crates/sidecar/src/endpoint_list/record.rs
@@ -1,6 +1,6 @@
 //! One record of a list: an endpoint, where it is and what discovery says of it.
 
-use cometcroft::State;
+use cometcroft::EndpointState;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 use std::borrow::Cow;
@@ -15,7 +15,7 @@
     /// Where it listens; may be missing where nothing new may be sent there anyway.
     pub address: Option<SocketAddr>,
     /// Whether it takes new requests.
-    pub state: State,
+    pub state: EndpointState,
     /// The name of its zone.
     pub zone: Option<String>,
     /// Its group of servers.
@@ -29,7 +29,7 @@
 impl EndpointRecord {
     /// Nothing new may be sent there.
     pub fn bars(&self) -> bool {
-        self.state != State::Ready
+        self.state != EndpointState::Ready
     }
 }
 
@@ -96,13 +96,13 @@
             return Err(RecordError::Name);
         }
         let state = match &*raw.status {
-            "up" => State::Ready,
-            "draining" => State::Draining,
-            "removed" => State::Gone,
+            "up" => EndpointState::Ready,
+            "draining" => EndpointState::Draining,
+            "removed" => EndpointState::Removed,
             _ => return Err(RecordError::Status),
         };
         let address = raw.address.and_then(|address| address.parse().ok());
-        if address.is_none() && state == State::Ready {
+        if address.is_none() && state == EndpointState::Ready {
             return Err(RecordError::Address);
         }
         Ok(EndpointRecord {
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -10,7 +10,7 @@
 use crate::http::{Fault, MAX_BULK, Piece};
 use crate::upload::Upload;
 use bytes::Bytes;
-use cometcroft::{Outcome, UpstreamId};
+use cometcroft::{EndpointId, Outcome};
 use cometcroft_platform::Platform;
 use std::cell::RefCell;
 use std::fmt;
@@ -59,7 +59,7 @@
 /// What an attempt that got no answer proves.
 pub fn without_answer(stage: Stage, lack: Lack) -> Outcome {
     match (stage, lack) {
-        (_, Lack::Barred) => Outcome::Moot,
+        (_, Lack::Barred) => Outcome::NotSent,
         (Stage::Unwritten, _) => Outcome::ConnectFailed,
         (Stage::Written, Lack::Late) => Outcome::Timeout,
         (Stage::Written, Lack::Broken) => Outcome::Reset,
@@ -73,7 +73,7 @@
 pub fn outcome(answer: &Answer) -> Outcome {
     match answer.status {
         200 => Outcome::Ok,
-        _ if answer.rejected() => Outcome::Full,
+        _ if answer.rejected() => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
@@ -94,7 +94,7 @@
     /// closes it.
     pub async fn run(
         &self,
-        to: UpstreamId,
+        to: EndpointId,
         message: impl FnOnce() -> Bytes,
         upload: Option<&Upload>,
         Ends { ends, latest }: Ends,
@@ -165,7 +165,7 @@
     /// the one place where anything begins at a backend server.
     async fn write_first(
         &self,
-        to: UpstreamId,
+        to: EndpointId,
         lease: &mut Lease<P>,
         message: &[u8],
     ) -> io::Result<(usize, Instant)> {
@@ -277,7 +277,7 @@
 /// A large answer that is still coming.
 struct Remainder<P: Platform> {
     pool: Rc<Pool<P>>,
-    to: UpstreamId,
+    to: EndpointId,
     lease: Option<Lease<P>>,
     exchange: Exchange,
 }
--- a/crates/sidecar/src/force.rs
+++ b/crates/sidecar/src/force.rs
@@ -52,7 +52,7 @@
         // Danger: a bar that the module hears of before the list is stricter would be tried all the same.
         let entries = self.directory.judge();
         if !entries.is_empty() {
-            self.host.tell(Event::Members { scope: ListScope::Changes, entries });
+            self.host.tell(Event::EndpointList { scope: ListScope::Changes, entries });
         }
         self.frontend.retune(settings, &net.classes, net.tenants.clone());
         if let Some(accord) = fleet.accord() {
--- a/crates/sidecar/src/freshness.rs
+++ b/crates/sidecar/src/freshness.rs
@@ -7,7 +7,7 @@
 //! nothing of what discovery had before.
 
 use crate::discovery::schedule::TOLD;
-use cometcroft::Trust;
+use cometcroft::ListValidity;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 use thiserror::Error;
@@ -117,10 +117,10 @@
     }
 
     /// How far the decision module can rely on the list; none: without end.
-    pub fn trust(&self, now: Instant) -> Option<Trust> {
+    pub fn trust(&self, now: Instant) -> Option<ListValidity> {
         match self.list_evidence(now) {
             Ok(Evidence::Pushed) => None,
-            _ => Some(Trust { list_for: self.holds_for(now), accepted_for: ACCEPTED }),
+            _ => Some(ListValidity { list_valid_for: self.holds_for(now), accepted_valid_for: ACCEPTED }),
         }
     }
 }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -128,7 +128,7 @@
     // Danger: beside a predecessor the list as last held is not good enough to serve by, and a watch would wait.
     let index = known.as_ref().map(|known| known.index).filter(|_| config.socket.is_none());
     if let Some(known) = known {
-        host.tell(Event::Members { scope: ListScope::Remembered, entries: known.entries });
+        host.tell(Event::EndpointList { scope: ListScope::Restored, entries: known.entries });
     }
     life.tell(|machine, _| machine.listed(!directory.is_empty(), false));
     // Another stream of numbers than the module's, from the same seed.
--- a/crates/sidecar/src/probe.rs
+++ b/crates/sidecar/src/probe.rs
@@ -4,7 +4,7 @@
 use crate::exchange::{Ends, Exchanger, Lack, Reply, Stage, without_answer};
 use crate::http::client;
 use crate::session::Probed;
-use cometcroft::{Outcome, Report, UpstreamId};
+use cometcroft::{EndpointId, LoadReport, Outcome};
 use cometcroft_platform::Platform;
 use cometcroft_settings::Field;
 use serde_json::Value;
@@ -18,7 +18,7 @@
 const MOST: f64 = 1e6;
 
 /// Probes a backend server.
-pub async fn ask<P: Platform>(exchanger: &Exchanger<P>, fields: &[Field], to: UpstreamId) -> Probed {
+pub async fn ask<P: Platform>(exchanger: &Exchanger<P>, fields: &[Field], to: EndpointId) -> Probed {
     count(&exchanger.counters.probes);
     let platform = exchanger.pool.platform();
     let (stage, ends) = (Cell::new(Stage::Unwritten), platform.now() + PATIENCE);
@@ -45,9 +45,9 @@
 }
 
 /// Reads a load report, of the values that the settings name.
-pub fn report(text: &[u8], fields: &[Field]) -> Option<Report> {
+pub fn report(text: &[u8], fields: &[Field]) -> Option<LoadReport> {
     let value: Value = serde_json::from_slice(text).ok()?;
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     for (name, figure) in value.as_object()? {
         let field = Field::named(name);
         if !fields.contains(&field) {
--- a/crates/sidecar/src/session/host.rs
+++ b/crates/sidecar/src/session/host.rs
@@ -2,7 +2,7 @@
 
 use super::table::{Command, Ended, Opening, SessionId, Table, Verdict};
 use crate::counters::Counters;
-use cometcroft::{ClassId, Event, Outcome, Report, Settings, SettingsError, Time, UpstreamId};
+use cometcroft::{ClassId, EndpointId, Event, LoadReport, Outcome, Settings, SettingsError, Time};
 use cometcroft_platform::{Platform, Task};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -16,7 +16,7 @@
 pub type Later<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// How a probe ended: the outcome and the load report.
-pub type Probed = (Outcome, Option<Report>);
+pub type Probed = (Outcome, Option<LoadReport>);
 
 /// What brings dispatches and probes to backend servers, by some protocol.
 pub trait Carrier: 'static {
@@ -32,15 +32,15 @@
     /// connection.
     fn dispatch(
         &self,
-        to: UpstreamId,
+        to: EndpointId,
         payload: Self::Payload,
         timeout: Duration,
         latest: Option<Instant>,
     ) -> Later<Ended<Self::Answer>>;
     /// One probe.
-    fn probe(&self, to: UpstreamId) -> Later<Probed>;
+    fn probe(&self, to: EndpointId) -> Later<Probed>;
     /// Closes idle connections.
-    fn close_idle(&self, to: UpstreamId);
+    fn close_idle(&self, to: EndpointId);
 }
 
 /// Runs sessions. It owns the table, the clock, all timers and the tasks of all dispatches.
@@ -136,9 +136,9 @@
     fn run(self: &Rc<Self>, commands: Vec<Command<C::Payload, C::Answer>>) {
         for command in commands {
             match command {
-                Command::Dispatch { session, attempt, upstream, timeout, latest, payload } => {
+                Command::Dispatch { session, attempt, endpoint, timeout, latest, payload } => {
                     let latest = latest.map(|at| self.origin + at.saturating_sub(self.origin_at));
-                    self.dispatch(session, attempt, upstream, (timeout, latest), payload);
+                    self.dispatch(session, attempt, endpoint, (timeout, latest), payload);
                 }
                 Command::Abandon(session) => {
                     if let Some(task) = self.running.borrow().get(&session) {
@@ -162,16 +162,16 @@
                         host.tell(Event::Timer(timer));
                     });
                 }
-                Command::Probe(upstream) => {
+                Command::Probe(endpoint) => {
                     let (host, began) = (self.clone(), self.platform().now());
-                    let probe = self.carrier.probe(upstream);
+                    let probe = self.carrier.probe(endpoint);
                     self.platform().detach(async move {
                         let (outcome, report) = probe.await;
                         let latency = host.platform().since(began);
-                        host.tell(Event::Probed { upstream, outcome, latency, report });
+                        host.tell(Event::Probed { endpoint, outcome, latency, report });
                     });
                 }
-                Command::CloseIdle(upstream) => self.carrier.close_idle(upstream),
+                Command::CloseIdle(endpoint) => self.carrier.close_idle(endpoint),
             }
         }
     }
@@ -180,7 +180,7 @@
         self: &Rc<Self>,
         session: SessionId,
         attempt: u32,
-        upstream: UpstreamId,
+        endpoint: EndpointId,
         (timeout, latest): (Duration, Option<Instant>),
         payload: C::Payload,
     ) {
@@ -194,7 +194,7 @@
                 before.await;
             }
             let left = ends.saturating_duration_since(host.platform().now());
-            let ended = host.carrier.dispatch(upstream, payload, left, latest).await;
+            let ended = host.carrier.dispatch(endpoint, payload, left, latest).await;
             let commands = host.table.borrow_mut().ended(host.now(), session, attempt, ended);
             host.run(commands);
         });
--- a/crates/sidecar/src/session/table.rs
+++ b/crates/sidecar/src/session/table.rs
@@ -46,7 +46,7 @@
     /// How.
     pub outcome: Outcome,
     /// The backend server's load report, if one came along.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// The answer to hand on, if it was served.
     pub answer: Option<A>,
 }
@@ -61,7 +61,7 @@
         /// Its number, counted from 0.
         attempt: u32,
         /// To which backend server.
-        upstream: UpstreamId,
+        endpoint: EndpointId,
         /// It is given up after this time.
         timeout: Duration,
         /// It is written whole by then or not at all: from then on its repeat may not be dropped any more.
@@ -78,14 +78,14 @@
     /// Call [`Table::timer`] after this time.
     Timer(Duration, Timer),
     /// Ask a backend server for its load.
-    Probe(UpstreamId),
+    Probe(EndpointId),
     /// Close the idle connections to a backend server.
-    CloseIdle(UpstreamId),
+    CloseIdle(EndpointId),
 }
 
 #[derive(Debug)]
 struct Dispatch {
-    upstream: UpstreamId,
+    endpoint: EndpointId,
     began: Time,
     out: bool,
     /// It ended with proof that it has not run.
@@ -142,7 +142,7 @@
 
     /// How many listed backend servers the module avoids now.
     pub fn avoided(&self, now: Time) -> usize {
-        self.balancer.avoided(now)
+        self.balancer.avoided_count(now)
     }
 
     /// How many sessions are owed an answer.
@@ -165,7 +165,7 @@
     ) -> Vec<Command<P, A>> {
         self.most = settings.limits.max_attempts as usize;
         self.effects = effects(&settings);
-        self.tell(now, Event::Retune { settings: Box::new(settings), from })
+        self.tell(now, Event::SettingsChanged { settings: Box::new(settings), previous_classes: from })
     }
 
     /// A session has come in.
@@ -175,7 +175,10 @@
         count(&self.counters.sessions);
         self.sessions.insert(id, Session { payload, class, dispatches: Vec::new(), answered: false });
         let request = RequestId(id);
-        let commands = self.tell(now, Event::Request { request, class, tenant, left, hint: None, repeat });
+        let commands = self.tell(
+            now,
+            Event::Request { request, class, tenant, time_left: left, work_hint: None, client_retry: repeat },
+        );
         (id, commands)
     }
 
@@ -188,25 +191,25 @@
         };
         dispatch.out = false;
         dispatch.void = ended.outcome.never_ran();
-        let (upstream, latency) = (dispatch.upstream, now.saturating_sub(dispatch.began));
+        let (endpoint, latency) = (dispatch.endpoint, now.saturating_sub(dispatch.began));
         let Ended { outcome, report, answer } = ended;
         count(match outcome {
             Outcome::Ok => &self.counters.dispatch_ok,
             Outcome::Error => &self.counters.dispatch_error,
-            Outcome::Full => &self.counters.dispatch_full,
+            Outcome::Rejected => &self.counters.dispatch_full,
             Outcome::Timeout => &self.counters.dispatch_timeout,
             Outcome::ConnectFailed => &self.counters.dispatch_unconnected,
             Outcome::Reset => &self.counters.dispatch_reset,
             Outcome::Cancelled => &self.counters.dispatch_cancelled,
-            Outcome::Moot => &self.counters.dispatch_moot,
+            Outcome::NotSent => &self.counters.dispatch_moot,
         });
         if let (Some(answer), Outcome::Ok, false) = (answer, outcome, session.answered) {
             session.answered = true;
             count(&self.counters.served);
             self.commands.push(Command::Answer(id, Verdict::Served(answer)));
         }
-        let (request, closed) = (RequestId(id), session.answered);
-        let event = Event::Outcome { request, attempt, upstream, closed, outcome, latency, report };
+        let (request, finished) = (RequestId(id), session.answered);
+        let event = Event::Outcome { request, attempt, endpoint, finished, outcome, latency, report };
         self.events.push_back(event);
         self.run(now)
     }
@@ -233,7 +236,7 @@
     }
 
     fn close(&mut self, now: Time, id: SessionId) -> Vec<Command<P, A>> {
-        self.events.push_back(Event::Withdrawn(RequestId(id)));
+        self.events.push_back(Event::ClientDisconnected(RequestId(id)));
         let mut commands = self.run(now);
         // The module calls off what is out only where that is permitted; a dispatch that nobody waits for is
         // ended all the same, as its connection would stay taken.
@@ -251,8 +254,8 @@
             self.events.push_back(Event::Outcome {
                 request: RequestId(id),
                 attempt: attempt as u32,
-                upstream: dispatch.upstream,
-                closed: session.answered,
+                endpoint: dispatch.endpoint,
+                finished: session.answered,
                 outcome: Outcome::Cancelled,
                 latency: now.saturating_sub(dispatch.began),
                 report: None,
@@ -264,7 +267,7 @@
         while let Some(event) = self.events.pop_front() {
             let concerned = match &event {
                 Event::Request { request, .. } | Event::Outcome { request, .. } => Some(request.0),
-                Event::Withdrawn(request) => Some(request.0),
+                Event::ClientDisconnected(request) => Some(request.0),
                 _ => None,
             };
             let mut actions = std::mem::take(&mut self.actions);
@@ -285,21 +288,21 @@
 
     fn carry_out(&mut self, now: Time, action: Action) {
         match action {
-            Action::Send { request, upstream, timeout } => self.send(now, request.0, upstream, timeout),
-            Action::Refuse { request, retry_after } => {
+            Action::Send { request, endpoint, timeout } => self.send(now, request.0, endpoint, timeout),
+            Action::Reject { request, retry_after } => {
                 self.answer(now, request.0, Verdict::Denied { retry_after });
             }
             Action::Fail(request) => self.answer(now, request.0, Verdict::Failed),
             Action::Cancel { request, .. } => self.abandon(now, request.0),
             Action::SetTimer { after, timer } => self.commands.push(Command::Timer(after, timer)),
-            Action::Probe(upstream) => self.commands.push(Command::Probe(upstream)),
-            Action::Close(upstream) => self.commands.push(Command::CloseIdle(upstream)),
+            Action::Probe(endpoint) => self.commands.push(Command::Probe(endpoint)),
+            Action::CloseIdle(endpoint) => self.commands.push(Command::CloseIdle(endpoint)),
             // Discovery is watched from the start, whether the module would ask or lists are pushed: `watch`.
             Action::Subscribe => {}
         }
     }
 
-    fn send(&mut self, now: Time, id: SessionId, upstream: UpstreamId, timeout: Duration) {
+    fn send(&mut self, now: Time, id: SessionId, endpoint: EndpointId, timeout: Duration) {
         let Some(session) = self.sessions.get_mut(&id) else {
             invariant(&self.counters, false, "only known sessions are dispatched");
             return;
@@ -320,19 +323,20 @@
         };
         // Never two at once, whatever was decided: what can't be sent is reported as never sent.
         let moot = out || session.answered || twice || attempt >= self.most;
-        session.dispatches.push(Dispatch { upstream, began: now, out: !moot, void: moot });
+        session.dispatches.push(Dispatch { endpoint, began: now, out: !moot, void: moot });
         let attempt = attempt as u32;
         if moot {
             count(&self.counters.dispatch_moot);
-            let (request, closed) = (RequestId(id), session.answered);
-            let (outcome, latency) = (Outcome::Moot, Duration::ZERO);
-            let event = Event::Outcome { request, attempt, upstream, closed, outcome, latency, report: None };
+            let (request, finished) = (RequestId(id), session.answered);
+            let (outcome, latency) = (Outcome::NotSent, Duration::ZERO);
+            let event =
+                Event::Outcome { request, attempt, endpoint, finished, outcome, latency, report: None };
             self.events.push_back(event);
             return;
         }
         count(&self.counters.dispatches);
         let payload = session.payload.clone();
-        self.commands.push(Command::Dispatch { session: id, attempt, upstream, timeout, latest, payload });
+        self.commands.push(Command::Dispatch { session: id, attempt, endpoint, timeout, latest, payload });
     }
 
     fn answer(&mut self, now: Time, id: SessionId, verdict: Verdict<A>) {
--- a/crates/sidecar/tests/crossings.rs
+++ b/crates/sidecar/tests/crossings.rs
@@ -673,7 +673,7 @@
     runtime.expect("a runtime").block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (at, to, second) =
-            (listener.local_addr().expect("an address"), cometcroft::UpstreamId(0), Duration::from_secs(1));
+            (listener.local_addr().expect("an address"), cometcroft::EndpointId(0), Duration::from_secs(1));
         let (platform, counters) = (Gated::default(), std::rc::Rc::new(Counters::default()));
         let pool = Pool::new(platform.clone(), 2, [5 * second, second], counters.clone(), None);
         let get = || pool.get(to, at, Tokio.now() + 9 * second);
@@ -729,7 +729,7 @@
         let pool = Pool::new(Tokio, 2, [5 * second, second], counters.clone(), None);
         let directory = Rc::new(directory);
         let exchanger = Exchanger { pool, directory: directory.clone(), counters };
-        let (to, ends) = (entries[0].upstream, Ends { ends: Tokio.now() + 2 * second, latest: None });
+        let (to, ends) = (entries[0].endpoint, Ends { ends: Tokio.now() + 2 * second, latest: None });
         let attempt = tokio::task::spawn_local(async move {
             exchanger.run(to, || PLAN.as_bytes().into(), None, ends, || {}).await.map(|reply| reply.answer.status)
         });
--- a/crates/sidecar/tests/discovery_schedule.rs
+++ b/crates/sidecar/tests/discovery_schedule.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::disallowed_methods)]
 mod common;
 
-use cometcroft::UpstreamId;
+use cometcroft::EndpointId;
 use cometcroft_sidecar::discovery::schedule::{Call, Failure, Schedule, TOLD, Time};
 use cometcroft_sidecar::discovery::staleness::Staleness;
 use proptest::prelude::*;
@@ -398,13 +398,13 @@
     let staleness = Staleness::default();
     for endpoint in 0..12 {
         assert!(!staleness.is_borne_out(40, began), "{endpoint} are too few");
-        staleness.answered(UpstreamId(endpoint), false, began);
+        staleness.answered(EndpointId(endpoint), false, began);
     }
     assert!(staleness.is_borne_out(40, began));
     assert!(!staleness.is_borne_out(400, began), "of a long list more are needed");
     assert!(!staleness.is_borne_out(40, began + 4000 * MS), "that was too long ago");
     for endpoint in 20..22 {
-        staleness.answered(UpstreamId(endpoint), true, began);
+        staleness.answered(EndpointId(endpoint), true, began);
     }
     assert!(!staleness.is_borne_out(40, began), "two turn requests away");
 }
--- a/crates/sidecar/tests/endpoint_list.rs
+++ b/crates/sidecar/tests/endpoint_list.rs
@@ -2,7 +2,7 @@
 //! has come, with bounded memory and work.
 mod common;
 
-use cometcroft::State;
+use cometcroft::EndpointState;
 use cometcroft_sidecar::endpoint_list::{EndpointList, ListError, ListReader, MAX_PENDING, RecordError};
 use proptest::prelude::*;
 use serde_json::{Value, json};
@@ -144,7 +144,7 @@
     let mut reader = ListReader::default();
     let text = r#"{"index":1,"snapshot":true,"endpoints":[7,{"name":"a","status":"draining"},{"name":"b"},{"name":"c","status":"removed"}]}"#;
     reader.push(text.as_bytes()).expect("JSON");
-    let states: Vec<State> = reader.records().iter().map(|record| record.state).collect();
-    assert_eq!(states, [State::Draining, State::Gone]);
+    let states: Vec<EndpointState> = reader.records().iter().map(|record| record.state).collect();
+    assert_eq!(states, [EndpointState::Draining, EndpointState::Removed]);
     assert_eq!(reader.finish(), Err(ListError::Record { position: 0, error: RecordError::Shape }));
 }
