--- a/crates/sidecar/tests/parts.rs
+++ b/crates/sidecar/tests/parts.rs
@@ -32,8 +32,8 @@
         outcome(&exchange.step(false).expect("well formed").expect("whole"))
     };
     assert_eq!(ends(200, ""), Outcome::Ok);
-    assert_eq!(ends(503, "X-Rejected: 1\r\n"), Outcome::Full);
-    assert_eq!(ends(504, "X-Rejected: 1\r\n"), Outcome::Full);
+    assert_eq!(ends(503, "X-Rejected: 1\r\n"), Outcome::Rejected);
+    assert_eq!(ends(504, "X-Rejected: 1\r\n"), Outcome::Rejected);
     for (status, extra) in [(503, ""), (504, "X-Rejected: 0\r\n"), (500, "X-Rejected: 1\r\n"), (204, "")] {
         assert_eq!(ends(status, extra), Outcome::Error, "{status}");
     }
@@ -76,7 +76,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     runtime.expect("a runtime").block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let (at, to) = (listener.local_addr().expect("an address"), UpstreamId(0));
+        let (at, to) = (listener.local_addr().expect("an address"), EndpointId(0));
         let (counters, second) = (std::rc::Rc::new(Counters::default()), Duration::from_secs(1));
         let pool = Pool::new(Tokio, 9, [5 * second, second], counters.clone(), None);
         let get = || pool.get(to, at, Tokio.now() + second);
@@ -192,7 +192,7 @@
 }
 
 /// Has a directory take what a list that broke off bars.
-fn salvaged(directory: &Directory, part: &[u8]) -> Vec<Member> {
+fn salvaged(directory: &Directory, part: &[u8]) -> Vec<EndpointEntry> {
     let mut reader = ListReader::default();
     reader.push(part).expect("well formed as far as it goes");
     let records: Vec<EndpointRecord> = reader.records().iter().cloned().chain(reader.arriving()).collect();
@@ -207,7 +207,7 @@
                "status": status, "weight": 1.5, "since_ms": 0})
     };
     let take = |value: serde_json::Value| taken(&directory, &value);
-    let open = |id| directory.open(UpstreamId(id));
+    let open = |id| directory.open(EndpointId(id));
     let first =
         json!({"index": 4, "snapshot": true, "endpoints": [entry("x", 1, "up"), entry("y", 2, "up")]});
     let news = take(first).expect("a list");
@@ -219,22 +219,22 @@
     // A drain closes at once.
     let drain = json!({"index": 5, "snapshot": false, "endpoints": [entry("x", 1, "draining")]});
     assert!(open(0) && open(1));
-    assert_eq!(take(drain.clone()).expect("a list").entries[0].upstream, UpstreamId(0));
+    assert_eq!(take(drain.clone()).expect("a list").entries[0].endpoint, EndpointId(0));
     assert!(!open(0) && open(1));
     take(drain);
     assert!(!open(0));
     // It may come back, elsewhere.
     take(json!({"index": 6, "snapshot": false, "endpoints": [entry("x", 9, "up")]}));
-    assert!(open(0) && directory.address(UpstreamId(0)).is_some_and(|a| a.port() == 9));
+    assert!(open(0) && directory.address(EndpointId(0)).is_some_and(|a| a.port() == 9));
     let at = |port: u16| std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    assert!(directory.open_at(UpstreamId(0), at(9)) && !directory.open_at(UpstreamId(0), at(1)));
+    assert!(directory.open_at(EndpointId(0), at(9)) && !directory.open_at(EndpointId(0), at(1)));
     // Who is absent from a whole list is gone; one that was never there needs no place.
     let rest = json!({"index": 7, "snapshot": true, "endpoints": [entry("x", 9, "up"), {"name": "z", "status": "removed"}]});
     assert_eq!(take(rest).expect("a list").entries.len(), 1);
     assert!(open(0) && !open(1) && !open(2));
     // One that comes back under its name after that is another.
     let back = json!({"index": 8, "snapshot": false, "endpoints": [entry("y", 2, "up")]});
-    assert_eq!(take(back).expect("a list").entries[0].upstream, UpstreamId(2));
+    assert_eq!(take(back).expect("a list").entries[0].endpoint, EndpointId(2));
     assert!(open(2) && !open(1));
     // What can't be read changes nothing, not even in part.
     let broken =
@@ -259,9 +259,9 @@
         let members = salvaged(&directory, &list.as_bytes()[..cut]);
         let expected = usize::from(cut >= told("a")) + usize::from(cut >= told("c"));
         assert_eq!(members.len(), expected, "cut at {cut}");
-        assert!(members.iter().all(|m| m.state != State::Ready));
+        assert!(members.iter().all(|m| m.state != EndpointState::Ready));
         assert_eq!(directory.len(), 3 - usize::from(cut >= told("c")), "one that is gone leaves the table");
-        assert!(directory.open(UpstreamId(1)), "what is up and the unknown are left alone");
+        assert!(directory.open(EndpointId(1)), "what is up and the unknown are left alone");
     }
 }
 
@@ -298,7 +298,7 @@
         directory
     };
     let read = serde_json::from_str(&pretty).expect("JSON");
-    assert_eq!(taken(&fresh(), &read).expect("news").entries[0].state, State::Draining);
+    assert_eq!(taken(&fresh(), &read).expect("news").entries[0].state, EndpointState::Draining);
     // Broken off behind the first row, and behind its status.
     let row = pretty.find("\"name\": \"b\"").expect("the second row");
     let status = pretty.find("\"draining\"").expect("the first row's") + "\"draining\",".len();
@@ -322,18 +322,21 @@
     let row = |name, status| json!({"name": name, "address": "127.0.0.1:7", "zone": "z", "status": status, "weight": 2.0});
     let list = |index: u32, status| json!({"index": index, "snapshot": true, "endpoints": [row("a", status), row("b", "up")]});
     let news = taken(&directory, &list(1, "up")).expect("a list");
-    assert_eq!((news.entries[0].state, news.entries[1].state), (State::Draining, State::Ready));
-    let open = |id| directory.open(UpstreamId(id));
+    assert_eq!(
+        (news.entries[0].state, news.entries[1].state),
+        (EndpointState::Draining, EndpointState::Ready)
+    );
+    let open = |id| directory.open(EndpointId(id));
     assert!(!open(0) && open(1), "a bar has no grace, and bars nobody else");
     assert!(directory.judge().is_empty(), "nothing has changed");
     verdict.set(Verdict::Share(0.5));
     let back = directory.judge();
-    assert_eq!((back.len(), back[0].state, back[0].weight), (1, State::Ready, 1.0));
+    assert_eq!((back.len(), back[0].state, back[0].weight), (1, EndpointState::Ready, 1.0));
     assert!(open(0));
     // Discovery is stricter: no verdict opens what it drains.
     taken(&directory, &list(2, "draining")).expect("a list");
     verdict.set(Verdict::Stays);
-    assert_eq!(directory.judge()[0].state, State::Draining);
+    assert_eq!(directory.judge()[0].state, EndpointState::Draining);
 }
 
 #[test]
@@ -347,7 +350,7 @@
         assert_eq!(taken(&directory, &list).expect("a list").entries.len(), 1 + usize::from(n > 0));
         assert_eq!(directory.len(), 1);
     }
-    assert!(directory.open(UpstreamId(999)) && !directory.open(UpstreamId(998)));
+    assert!(directory.open(EndpointId(999)) && !directory.open(EndpointId(998)));
 }
 
 #[test]
@@ -447,7 +450,7 @@
 fn around_a_change_both_forms_are_taken_under_the_stricter_effect() {
     let keyed = Effect::Keyed { scope: DedupScope::All, window: Duration::from_secs(5) };
     let effects = [(Effect::Safe, Form::Plain), (keyed, Form::Keyed), (Effect::Unsafe, Form::Unkeyed)];
-    let class = |effect| Class { effect, ..Settings::example().classes[0].clone() };
+    let class = |effect| RequestClass { effect, ..Settings::example().classes[0].clone() };
     let (names, now) = (["c".to_owned()], Tokio.now());
     for (old, old_form) in effects {
         for (new, new_form) in effects.into_iter().filter(|(new, _)| *new != old) {
@@ -478,7 +481,7 @@
         steps in proptest::collection::vec((0..4u8, 0..3u8, 0..5u8, 0..3000u64), 1..300),
     ) {
         let keyed = Effect::Keyed { scope: DedupScope::All, window: Duration::from_secs(5) };
-        let class = |n: u8| Class {
+        let class = |n: u8| RequestClass {
             effect: [Effect::Safe, keyed, Effect::Unsafe][usize::from(n % 3)],
             deadline: Duration::from_secs(1 + u64::from(n / 3)),
             ..Settings::example().classes[0].clone()
@@ -494,7 +497,7 @@
                     prop_assert_eq!(from.len(), register.classes().len());
                 }
                 1 if !held.is_empty() => {
-                    let (id, _): (ClassId, Class) = held.pop_front().expect("one");
+                    let (id, _): (ClassId, RequestClass) = held.pop_front().expect("one");
                     register.release(id);
                 }
                 _ => {
@@ -584,7 +587,7 @@
         serde_json::from_str(&common::config("127.0.0.1:0", "127.0.0.1:1", "null")).expect("JSON");
     value["settings"]["policy-limits"]["second-copies"] = json!(true);
     let config = Config::parse(&value.to_string(), |_| None).expect("good");
-    assert!(!config.settings.limits.second_copies, "the table has one dispatch of a session out at most");
+    assert!(!config.settings.limits.hedging, "the table has one dispatch of a session out at most");
 }
 
 #[test]
--- a/crates/sidecar/tests/sessions.rs
+++ b/crates/sidecar/tests/sessions.rs
@@ -31,8 +31,14 @@
     (step, 0..400u64)
 }
 
-const OUTCOMES: [Outcome; 6] =
-    [Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::Timeout, Outcome::ConnectFailed, Outcome::Reset];
+const OUTCOMES: [Outcome; 6] = [
+    Outcome::Ok,
+    Outcome::Error,
+    Outcome::Rejected,
+    Outcome::Timeout,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+];
 
 /// What is known of a session from outside.
 #[derive(Default)]
@@ -55,20 +61,20 @@
     let class = settings.classes[0].clone();
     let keyed = Effect::Keyed { scope: DedupScope::All, window: WINDOW };
     settings.classes =
-        [Effect::Safe, Effect::Unsafe, keyed].map(|e| Class { effect: e, ..class.clone() }).into();
-    settings.limits.second_copies = false;
+        [Effect::Safe, Effect::Unsafe, keyed].map(|e| RequestClass { effect: e, ..class.clone() }).into();
+    settings.limits.hedging = false;
     settings.limits.max_attempts = 3;
     settings
 }
 
 fn list(drained: Option<u32>) -> Event {
-    let entries = (0..4).map(|id| Member {
-        upstream: UpstreamId(id),
-        state: if drained == Some(id) { State::Draining } else { State::Ready },
+    let entries = (0..4).map(|id| EndpointEntry {
+        endpoint: EndpointId(id),
+        state: if drained == Some(id) { EndpointState::Draining } else { EndpointState::Ready },
         weight: 1.0,
-        ..Member::default()
+        ..EndpointEntry::default()
     });
-    Event::Members { scope: ListScope::Complete, entries: entries.collect() }
+    Event::EndpointList { scope: ListScope::Complete, entries: entries.collect() }
 }
 
 fn check(
@@ -80,12 +86,12 @@
 ) -> Result<(), TestCaseError> {
     for command in commands {
         match command {
-            Command::Dispatch { session, attempt, upstream, payload, latest, .. } => {
+            Command::Dispatch { session, attempt, endpoint, payload, latest, .. } => {
                 let model = models.entry(session).or_default();
                 prop_assert_eq!(model.over, 0, "nothing is dispatched for what is over");
                 prop_assert_eq!(model.out, None, "never two at once");
                 prop_assert_eq!(attempt, model.dispatched);
-                prop_assert!(attempt < 3 && Some(upstream.0) != drained);
+                prop_assert!(attempt < 3 && Some(endpoint.0) != drained);
                 prop_assert!(payload != 1 || !model.may_have_run, "an unsafe class never runs twice");
                 let bound = payload == 2 && model.may_have_run;
                 prop_assert_eq!(latest.is_some(), bound, "a repeat is bound to its window, and nothing else");
--- a/crates/sim/src/codec.rs
+++ b/crates/sim/src/codec.rs
@@ -13,7 +13,7 @@
     pub cell: CellId,
     pub zone: ZoneId,
     pub started: Option<Time>,
-    pub state: State,
+    pub state: EndpointState,
     pub weight: f64,
 }
 
@@ -55,7 +55,7 @@
     Withdrawn(&'a str),
     Elapsed(&'a str),
     Pong {
-        upstream: &'a str,
+        endpoint: &'a str,
         outcome: Outcome,
         latency: Duration,
         load: &'a str,
@@ -71,7 +71,7 @@
     pub outcome: Outcome,
     pub attempt: u32,
     pub latency: Duration,
-    pub upstream: &'a str,
+    pub endpoint: &'a str,
     pub load: &'a str,
 }
 
@@ -119,12 +119,12 @@
         Ok(match self.word("result")? {
             "0" => Outcome::Ok,
             "13" => Outcome::Error,
-            "8" => Outcome::Full,
+            "8" => Outcome::Rejected,
             "4" => Outcome::Timeout,
             "14" => Outcome::ConnectFailed,
             "10" => Outcome::Reset,
             "1" => Outcome::Cancelled,
-            "9" => Outcome::Moot,
+            "9" => Outcome::NotSent,
             word => return Err(format!("unknown result {word:?}")),
         })
     }
@@ -160,7 +160,7 @@
             let scope = match p.word("scope")? {
                 "changes" => Some(ListScope::Changes),
                 "all" => Some(ListScope::Complete),
-                "remembered" => Some(ListScope::Remembered),
+                "remembered" => Some(ListScope::Restored),
                 "refused" => None,
                 word => return Err(format!("unknown scope {word:?}")),
             };
@@ -189,15 +189,15 @@
             outcome: p.outcome()?,
             attempt: p.number("send-no")?,
             latency: p.time("latency-ns")?,
-            upstream: p.word("upstream")?,
+            endpoint: p.word("upstream")?,
             load: p.word("health-info")?,
         }),
         "WITHDRAWN" => Line::Withdrawn(p.word("rid")?),
         "ELAPSED" => Line::Elapsed(p.word("ctx")?),
         "PONG" => {
-            let (upstream, outcome) = (p.word("upstream")?, p.outcome()?);
+            let (endpoint, outcome) = (p.word("upstream")?, p.outcome()?);
             let latency = p.time("latency-ns")?;
-            Line::Pong { upstream, outcome, latency, load: p.word("health-info")? }
+            Line::Pong { endpoint, outcome, latency, load: p.word("health-info")? }
         }
         "MEMO" => return Ok(Line::Memo),
         word => return Err(format!("unknown message {word:?}")),
@@ -218,9 +218,9 @@
     let since: Option<u64> = p.optional("since-ns")?;
     let word = p.word("upstream")?.to_owned();
     let state = match p.word("condition")? {
-        "ready" => State::Ready,
-        "draining" => State::Draining,
-        "gone" => State::Gone,
+        "ready" => EndpointState::Ready,
+        "draining" => EndpointState::Draining,
+        "gone" => EndpointState::Removed,
         word => return Err(format!("unknown condition {word:?}")),
     };
     let weight = p.optional("weight")?.unwrap_or(1.0);
@@ -230,11 +230,11 @@
 }
 
 /// Reads a load report, its values in the order of `fields`.
-pub fn parse_report(word: &str, fields: &[Field]) -> Result<Option<Report>, String> {
+pub fn parse_report(word: &str, fields: &[Field]) -> Result<Option<LoadReport>, String> {
     if word == "-" {
         return Ok(None);
     }
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     for (value, field) in word.split(',').zip(fields) {
         if value == "-" {
             continue;
@@ -250,7 +250,7 @@
     match timer {
         Timer::Refresh => "refresh".into(),
         Timer::Subscribe => "subscribe".into(),
-        Timer::Request(id) => format!("request-{}", id.0),
+        Timer::SlowRequest(id) => format!("request-{}", id.0),
     }
 }
 
@@ -260,7 +260,7 @@
         "refresh" => Ok(Timer::Refresh),
         "subscribe" => Ok(Timer::Subscribe),
         _ => match word.strip_prefix("request-").and_then(|id| id.parse().ok()) {
-            Some(id) => Ok(Timer::Request(RequestId(id))),
+            Some(id) => Ok(Timer::SlowRequest(RequestId(id))),
             None => Err(format!("unknown timer {word:?}")),
         },
     }
--- a/crates/sim/src/host.rs
+++ b/crates/sim/src/host.rs
@@ -30,7 +30,7 @@
 struct Instance {
     balancer: Balancer,
     fields: Vec<Field>,
-    upstream_ids: HashMap<Rc<str>, UpstreamId>,
+    upstream_ids: HashMap<Rc<str>, EndpointId>,
     upstream_words: Vec<Rc<str>>,
     request_ids: HashMap<Rc<str>, RequestId>,
     requests: HashMap<RequestId, Word>,
@@ -56,11 +56,11 @@
         })
     }
 
-    fn upstream(&mut self, word: &str) -> UpstreamId {
+    fn endpoint(&mut self, word: &str) -> EndpointId {
         if let Some(&id) = self.upstream_ids.get(word) {
             return id;
         }
-        let (id, word): (_, Rc<str>) = (UpstreamId(self.upstream_words.len() as u32), word.into());
+        let (id, word): (_, Rc<str>) = (EndpointId(self.upstream_words.len() as u32), word.into());
         self.upstream_words.push(word.clone());
         self.upstream_ids.insert(word, id);
         id
@@ -103,13 +103,13 @@
 
     fn write(&mut self, action: Action) {
         let written = match action {
-            Action::Send { request, upstream, timeout } => {
-                let up = self.upstream_words.get(upstream.0 as usize);
+            Action::Send { request, endpoint, timeout } => {
+                let up = self.upstream_words.get(endpoint.0 as usize);
                 let (Some(word), Some(up)) = (self.requests.get_mut(&request), up) else { return };
                 word.out += 1;
                 writeln!(self.reply, "FORWARD {} {} {up}", word.word, timeout.as_nanos())
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let Some(word) = self.requests.get(&request) else { return };
                 let wait = retry_after.unwrap_or_default().as_nanos();
                 let written = writeln!(self.reply, "DECLINE {} {wait}", word.word);
@@ -129,11 +129,11 @@
             Action::SetTimer { after, timer } => {
                 writeln!(self.reply, "SET_TIMER {} {}", after.as_nanos(), codec::write_timer(timer))
             }
-            Action::Probe(upstream) => match self.upstream_words.get(upstream.0 as usize) {
+            Action::Probe(endpoint) => match self.upstream_words.get(endpoint.0 as usize) {
                 Some(word) => writeln!(self.reply, "INSPECT {word}"),
                 None => return,
             },
-            Action::Close(upstream) => match self.upstream_words.get(upstream.0 as usize) {
+            Action::CloseIdle(endpoint) => match self.upstream_words.get(endpoint.0 as usize) {
                 Some(word) => writeln!(self.reply, "RELEASE {word}"),
                 None => return,
             },
@@ -181,7 +181,17 @@
                 let instance = self.instance()?;
                 let request = instance.request(rid, true);
                 let (class, tenant) = (ClassId(class), tenant.map(TenantId));
-                instance.handle(now, Event::Request { request, class, tenant, left, hint, repeat });
+                instance.handle(
+                    now,
+                    Event::Request {
+                        request,
+                        class,
+                        tenant,
+                        time_left: left,
+                        work_hint: hint,
+                        client_retry: repeat,
+                    },
+                );
             }
             Line::FirstByte { rid, attempt } => {
                 let instance = self.instance()?;
@@ -191,28 +201,29 @@
             Line::Returned(r) => {
                 let instance = self.instance()?;
                 let request = instance.request(r.rid, false);
-                let upstream = instance.upstream(r.upstream);
+                let endpoint = instance.endpoint(r.endpoint);
                 let report = codec::parse_report(r.load, &instance.fields)?;
                 let (attempt, closed, outcome, latency) = (r.attempt, r.closed, r.outcome, r.latency);
-                let event = Event::Outcome { request, attempt, upstream, closed, outcome, latency, report };
+                let event =
+                    Event::Outcome { request, attempt, endpoint, finished: closed, outcome, latency, report };
                 instance.handle(now, event);
                 instance.finish(request, true, closed);
             }
             Line::Withdrawn(rid) => {
                 let instance = self.instance()?;
                 let request = instance.request(rid, false);
-                instance.handle(now, Event::Withdrawn(request));
+                instance.handle(now, Event::ClientDisconnected(request));
                 instance.finish(request, false, true);
             }
             Line::Elapsed(ctx) => {
                 let timer = codec::parse_timer(ctx)?;
                 self.instance()?.handle(now, Event::Timer(timer));
             }
-            Line::Pong { upstream, outcome, latency, load } => {
+            Line::Pong { endpoint, outcome, latency, load } => {
                 let instance = self.instance()?;
-                let upstream = instance.upstream(upstream);
+                let endpoint = instance.endpoint(endpoint);
                 let report = codec::parse_report(load, &instance.fields)?;
-                instance.handle(now, Event::Probed { upstream, outcome, latency, report });
+                instance.handle(now, Event::Probed { endpoint, outcome, latency, report });
             }
             Line::Memo => {
                 self.instance()?;
@@ -224,7 +235,7 @@
     fn fleet(&mut self, scope: Option<ListScope>, set: Option<usize>) -> Result<(), String> {
         let now = self.now;
         let Some(scope) = scope else {
-            self.instance()?.handle(now, Event::DiscoveryRefused);
+            self.instance()?.handle(now, Event::DiscoveryFailed);
             return Ok(());
         };
         let set = set.ok_or("set-id is missing")?;
@@ -232,11 +243,11 @@
         let instance = self.instance()?;
         let mut entries = Vec::with_capacity(items.len());
         for item in &items {
-            let upstream = instance.upstream(&item.word);
+            let endpoint = instance.endpoint(&item.word);
             let Item { cell, zone, started, state, weight, .. } = *item;
-            entries.push(Member { upstream, key: item.key, cell, zone, started, state, weight });
+            entries.push(EndpointEntry { endpoint, key: item.key, cell, zone, started, state, weight });
         }
-        instance.handle(now, Event::Members { scope, entries });
+        instance.handle(now, Event::EndpointList { scope, entries });
         self.lists.insert(set, items);
         Ok(())
     }
--- a/crates/sim/tests/wire.rs
+++ b/crates/sim/tests/wire.rs
@@ -74,7 +74,7 @@
 #[test]
 fn timers_come_back_as_they_were_given() {
     use cometcroft::{RequestId, Timer};
-    for timer in [Timer::Refresh, Timer::Subscribe, Timer::Request(RequestId(8))] {
+    for timer in [Timer::Refresh, Timer::Subscribe, Timer::SlowRequest(RequestId(8))] {
         assert_eq!(codec::parse_timer(&codec::write_timer(timer)), Ok(timer));
     }
     assert!(codec::parse_timer("request-x").is_err());
@@ -89,7 +89,7 @@
 #[test]
 fn rank_and_the_time_to_let_go_are_read_and_may_be_absent() {
     use std::time::Duration;
-    let read = |conf: &str| codec::parse_settings(conf).map(|(s, _)| (s.rank, s.rules.let_go));
+    let read = |conf: &str| codec::parse_settings(conf).map(|(s, _)| (s.rank, s.rules.close_idle_within));
     let let_go = |value: &str| changed("\"novel\": 1", &format!("\"let-go-in-ns\": {value}"));
     assert_eq!(read(CONF), Ok((0, None)));
     assert_eq!(read(&changed("\"rank\": 0, ", "")), Ok((0, None)));
@@ -102,7 +102,7 @@
     );
     let zero = let_go("0");
     let (ended, _) = run(&format!("MARK 1 1\nFOR 1\nBEGIN 1 {zero}\nEOF_BATCH\n"));
-    assert!(ended.expect_err("no time").contains("rules.let_go"));
+    assert!(ended.expect_err("no time").contains("rules.close_idle_within"));
 }
 
 #[test]
@@ -111,19 +111,19 @@
     let rules = |conf: &str| codec::parse_settings(conf).map(|(s, _)| s.rules);
     let with = |keys: &str| changed("\"novel\": 1", keys);
     let plain = rules(CONF).expect("sound");
-    assert_eq!((plain.retry_budget, plain.drain_binds_alone), (None, false));
-    let look_back = std::time::Duration::from_secs(2);
+    assert_eq!((plain.retry_budget, plain.use_removed_endpoints), (None, false));
+    let window = std::time::Duration::from_secs(2);
     let full = "\"budget-free\": 5, \"extra-ratio\": 0.03, \"look-back-ns\": 2000000000, \"drain-binds-alone\": true";
     let full = rules(&with(full)).expect("sound");
-    assert_eq!(full.retry_budget, Some(RetryBudget { free: 5.0, ratio: 0.03, look_back }));
-    assert!(full.drain_binds_alone);
+    assert_eq!(full.retry_budget, Some(RetryBudget { min_retries: 5.0, ratio: 0.03, window }));
+    assert!(full.use_removed_endpoints);
     for (keys, words) in [
         ("\"budget-free\": 5, \"look-back-ns\": 2000000000", "contract.extra-ratio is missing"),
         ("\"extra-ratio\": 0.1", "contract.budget-free is missing"),
         ("\"budget-free\": 5, \"extra-ratio\": 0.1", "contract.look-back-ns is missing"),
         ("\"drain-binds-alone\": 1", "contract.drain-binds-alone is neither"),
         ("\"budget-free\": 5, \"extra-ratio\": -0.1, \"look-back-ns\": 1", "rules.retry_budget.ratio"),
-        ("\"budget-free\": 5, \"extra-ratio\": 0.1, \"look-back-ns\": 0", "rules.retry_budget.look_back"),
+        ("\"budget-free\": 5, \"extra-ratio\": 0.1, \"look-back-ns\": 0", "rules.retry_budget.window"),
     ] {
         let (ended, _) = run(&format!("MARK 1 1\nFOR 1\nBEGIN 1 {}\nEOF_BATCH\n", with(keys)));
         let message = ended.expect_err(keys);
