--- a/crates/plan/tests/wire_format.rs
+++ b/crates/plan/tests/wire_format.rs
@@ -3,7 +3,7 @@
 //! postcard writes the index of an enum variant and the fields of a struct in the order of their declaration. A reordered
 //! variant or field still compiles, but sidecars of two versions would then read one log differently.
 
-use cometcroft_consensus::Machine;
+use cometcroft_consensus::StateMachine;
 use cometcroft_plan::{
     Answer, Content, Happened, Id, Permit, PermitState, Phase, Plan, PlanError, Said, Spent, Steward, Storm,
     Wanted, What, Word, reach,
