--- a/crates/emulator/src/agree.rs
+++ b/crates/emulator/src/agree.rs
@@ -2,7 +2,7 @@
 
 use crate::platform::Emulated;
 use cometcroft_consensus::Config;
-use cometcroft_plan::{Answer, PermitState, What, Word};
+use cometcroft_plan::{Command, CommandOutcome, PermitState, PermitTarget};
 use cometcroft_script::{PlanLook, Say, Spoken};
 use cometcroft_sidecar::accord::{Accord, AccordParts};
 use std::net::SocketAddrV4;
@@ -24,26 +24,31 @@
     let Spoken { say, id, text, number, server, waves } = spoken;
     let word = match say {
         Say::Refound => return accord.found().await.map_err(|failure| failure.code().to_owned()),
-        Say::Propose => Word::Propose { text },
-        Say::Rollback => Word::RollBack { to: number },
-        Say::Release => Word::Release { text, waves },
-        Say::Halt => Word::Halt,
-        Say::Resume => Word::Resume,
-        Say::Back => Word::Back,
+        Say::Propose => Command::Propose { text },
+        Say::Rollback => Command::RollBackTo { revision: number },
+        Say::Release => Command::Release { text, waves },
+        Say::Halt => Command::Halt,
+        Say::Resume => Command::Resume,
+        Say::Back => Command::RollBackRelease,
         Say::Drain => {
             let tier = accord.tier();
-            Word::Ask { what: What::Server(server), zone: "a".to_owned(), tier, for_s: 60 }
+            Command::RequestPermit {
+                target: PermitTarget::Endpoint(server),
+                zone: "a".to_owned(),
+                tier,
+                overdue_after_s: 60,
+            }
         }
         Say::Restart => {
             let (what, zone, tier) = accord.own();
-            Word::Ask { what, zone, tier, for_s: 60 }
+            Command::RequestPermit { target: what, zone, tier, overdue_after_s: 60 }
         }
-        Say::Return => Word::Return { permit: number },
-        Say::Force => Word::Force { permit: number },
+        Say::Return => Command::ReturnPermit { permit: number },
+        Say::Force => Command::ForceClear { permit: number },
     };
     match accord.say(word, "script", None, Some(id)).await {
-        Ok(Answer::Taken { index, .. }) => Ok(index),
-        Ok(Answer::Refused(error)) => Err(error.code().to_owned()),
+        Ok(CommandOutcome::Applied { index, .. }) => Ok(index),
+        Ok(CommandOutcome::Rejected(error)) => Err(error.code().to_owned()),
         Err(failure) => Err(failure.code().to_owned()),
     }
 }
@@ -55,14 +60,14 @@
         let (place, plan) = (log.place(), log.machine());
         let permits = plan.permits().values();
         let clear = permits.clone().filter(|it| matches!(it.state, PermitState::Clear { .. }));
-        let waved = plan.release().map(|_| plan.waved());
+        let waved = plan.release().map(|_| plan.last_wave_index());
         PlanLook {
             place: (place.founding, place.index),
             sum: format!("{:016x}", place.sum),
             in_force,
-            halted: plan.halted().is_some(),
-            steps: permits.filter_map(|it| it.since()).chain(waved).collect(),
-            clear: clear.map(|it| it.what.name().to_owned()).collect(),
+            halted: plan.halted_by().is_some(),
+            steps: permits.filter_map(|it| it.granted_index()).chain(waved).collect(),
+            clear: clear.map(|it| it.target.name().to_owned()).collect(),
             led: leads,
         }
     })
--- a/crates/hollow/src/member.rs
+++ b/crates/hollow/src/member.rs
@@ -6,7 +6,7 @@
 use crate::traffic::{Meter, Role};
 use cometcroft_budget::{Kind as BudgetKind, Whole};
 use cometcroft_membership::Name;
-use cometcroft_plan::{Answer, Word};
+use cometcroft_plan::{Command, CommandOutcome};
 use cometcroft_platform::{Platform, Tokio};
 use cometcroft_sidecar::accord::{Accord, AccordEvent, AccordParts, Failure};
 use cometcroft_sidecar::fleet::{Fleet, FleetParts};
@@ -156,10 +156,10 @@
     let at = monotonic();
     let mut attempts = 1;
     loop {
-        let word = Word::Propose { text: text.clone() };
+        let word = Command::Propose { text: text.clone() };
         let revision = match plan.say(word, "scale test", None, Some(PROPOSAL)).await {
-            Ok(Answer::Taken { number, .. }) => Ok(number),
-            Ok(Answer::Refused(error)) => Err(Failure::from(error)),
+            Ok(CommandOutcome::Applied { number, .. }) => Ok(number),
+            Ok(CommandOutcome::Rejected(error)) => Err(Failure::from(error)),
             Err(failure) => Err(failure),
         };
         if attempts < PROPOSAL_ATTEMPTS && revision.as_ref().is_err_and(Failure::unknown) {
--- a/crates/plan/src/content.rs
+++ b/crates/plan/src/content.rs
@@ -4,30 +4,31 @@
 use serde::{Deserialize, Serialize};
 
 /// No text is longer.
-pub const MAX_TEXT: usize = 24 << 10;
+pub const MAX_TEXT_BYTES: usize = 24 << 10;
 
 /// What a revision says.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Content {
+pub struct RevisionContent {
     /// The format.
     pub version: u32,
     /// Attempts of a request at most; never more than the settings allow.
-    pub attempts: Option<u32>,
+    #[serde(rename = "attempts")]
+    pub max_attempts: Option<u32>,
     /// The share of the listed backend servers that rules and permits must leave.
-    #[serde(default = "half")]
-    pub keep: f64,
+    #[serde(rename = "keep", default = "half")]
+    pub min_endpoint_share: f64,
     /// What becomes of backend servers.
     #[serde(rename = "server", default)]
-    pub servers: Vec<ServerRule>,
+    pub endpoint_rules: Vec<EndpointRule>,
     /// How many may be out at once.
     #[serde(rename = "out", default)]
-    pub out: Vec<OutLimit>,
+    pub outage_limits: Vec<OutageLimit>,
     /// Limits on retries over the whole cluster.
     #[serde(rename = "retries", default)]
-    pub retries: Vec<RetryRule>,
+    pub retry_rules: Vec<RetryRule>,
     /// When retries storm.
-    pub storm: Option<Storm>,
+    pub storm: Option<StormRule>,
 }
 
 fn half() -> f64 {
@@ -36,8 +37,8 @@
 
 /// `[[server]]`: those that fit all that is named.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ServerRule {
+#[serde(deny_unknown_fields, expecting = "struct ServerRule")]
+pub struct EndpointRule {
     /// By name.
     pub name: Option<String>,
     /// By zone.
@@ -51,25 +52,28 @@
 /// What a limit of outages counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum OutOf {
+pub enum OutageKind {
     /// Sidecars.
     Sidecars,
     /// Backend servers.
-    Servers,
+    #[serde(rename = "servers")]
+    Endpoints,
 }
 
 /// `[[out]]`: so many at once, in each tier and zone that fit; the least of all that fit binds.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct OutLimit {
+#[serde(deny_unknown_fields, expecting = "struct OutLimit")]
+pub struct OutageLimit {
     /// Of what.
-    pub of: OutOf,
+    #[serde(rename = "of")]
+    pub kind: OutageKind,
     /// In this zone alone.
     pub zone: Option<String>,
     /// At this tier alone.
     pub tier: Option<u8>,
     /// A number.
-    pub most: Option<u32>,
+    #[serde(rename = "most")]
+    pub max: Option<u32>,
     /// A share of how many there are, one at least.
     pub share: Option<f64>,
 }
@@ -77,21 +81,23 @@
 /// How the attempt before ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Happened {
+pub enum RetryCause {
     /// Refused by the backend server.
-    Refused,
+    #[serde(rename = "refused")]
+    Rejected,
     /// Never connected, or broken before the last byte.
     NeverConnected,
     /// An error or a broken connection after that.
     MayHaveRun,
     /// No answer in time.
-    Late,
+    #[serde(rename = "late")]
+    TimedOut,
 }
 
 /// What happens when a rule is spent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Spent {
+pub enum ExhaustedAction {
     /// The attempt is not made.
     #[default]
     Deny,
@@ -112,7 +118,7 @@
     /// From sidecars in this zone.
     pub zone: Option<String>,
     /// After such an end of the attempt before.
-    pub after: Option<Happened>,
+    pub after: Option<RetryCause>,
     /// Retries for each first try.
     pub share: f64,
     /// A second over the whole cluster, however few first tries there are.
@@ -124,8 +130,8 @@
     #[serde(default = "ten")]
     pub burst: f64,
     /// What happens when it is spent.
-    #[serde(default)]
-    pub spent: Spent,
+    #[serde(rename = "spent", default)]
+    pub when_exhausted: ExhaustedAction,
 }
 
 fn ten() -> f64 {
@@ -134,33 +140,35 @@
 
 /// `[storm]`.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Storm {
+#[serde(deny_unknown_fields, expecting = "struct Storm")]
+pub struct StormRule {
     /// It begins when the fleet's retries are over this share of its first tries ...
-    pub over: f64,
+    #[serde(rename = "over")]
+    pub start_above: f64,
     /// ... for this long; it ends when they have been under `under` for as long.
     #[serde(rename = "for")]
-    pub lasting: Time,
+    pub hold: Time,
     /// Under this.
-    pub under: f64,
+    #[serde(rename = "under")]
+    pub end_below: f64,
     /// Every rule's ceiling while it lasts.
     pub ceiling: f64,
 }
 
 /// What becomes of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Verdict {
+pub enum WeightAdjustment {
     /// Nothing.
-    Stays,
+    Unchanged,
     /// It has this share of its weight.
-    Share(f64),
+    Scaled(f64),
     /// It takes nothing.
-    Out,
+    Excluded,
 }
 
 /// Of a retry, what rules select by.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct RetryAttributes<'a> {
     /// The tenant.
     pub tenant: Option<&'a str>,
     /// The class.
@@ -170,7 +178,7 @@
     /// The sidecar's zone.
     pub zone: &'a str,
     /// How the attempt before ended.
-    pub after: Option<Happened>,
+    pub after: Option<RetryCause>,
 }
 
 impl RetryRule {
@@ -183,7 +191,7 @@
             + usize::from(self.after.is_some())
     }
 
-    fn fits(&self, wanted: &Wanted<'_>) -> bool {
+    fn fits(&self, wanted: &RetryAttributes<'_>) -> bool {
         let text = |named: &Option<String>, is: Option<&str>| named.is_none() || named.as_deref() == is;
         text(&self.tenant, wanted.tenant)
             && text(&self.class, Some(wanted.class))
@@ -205,26 +213,26 @@
     }
 }
 
-impl Content {
+impl RevisionContent {
     /// What is in force before the first revision: nothing but the files.
-    pub fn plain() -> Content {
-        Content {
+    pub fn empty() -> RevisionContent {
+        RevisionContent {
             version: 1,
-            attempts: None,
-            keep: half(),
-            servers: Vec::new(),
-            out: Vec::new(),
-            retries: Vec::new(),
+            max_attempts: None,
+            min_endpoint_share: half(),
+            endpoint_rules: Vec::new(),
+            outage_limits: Vec::new(),
+            retry_rules: Vec::new(),
             storm: None,
         }
     }
 
     /// Reads a text; `file` is only named in errors.
-    pub fn parse(text: &str, file: &str) -> Result<Content, FileError> {
-        if text.len() > MAX_TEXT {
-            return Err(FileError::of(file, format!("{} bytes, {MAX_TEXT} at most", text.len())));
+    pub fn parse(text: &str, file: &str) -> Result<RevisionContent, FileError> {
+        if text.len() > MAX_TEXT_BYTES {
+            return Err(FileError::of(file, format!("{} bytes, {MAX_TEXT_BYTES} at most", text.len())));
         }
-        let content: Content = read(text, file)?;
+        let content: RevisionContent = read(text, file)?;
         content.check().map_err(|(table, field, reason)| {
             let from = table.and_then(|(name, i)| text.match_indices(&format!("[[{name}]]")).nth(i));
             let from = from.map_or(0, |(at, _)| at);
@@ -245,14 +253,14 @@
         if self.version != 1 {
             return bad(None, "version", "this program reads version 1");
         }
-        if self.attempts == Some(0) {
+        if self.max_attempts == Some(0) {
             return bad(None, "attempts", "must be at least 1");
         }
         let share = |figure: f64| (0.0..=1.0).contains(&figure);
-        if !share(self.keep) {
+        if !share(self.min_endpoint_share) {
             return bad(None, "keep", "must be between 0 and 1");
         }
-        for (i, rule) in self.servers.iter().enumerate() {
+        for (i, rule) in self.endpoint_rules.iter().enumerate() {
             let table = Some(("server", i));
             if rule.name.is_none() && rule.zone.is_none() && rule.group.is_none() {
                 return bad(table, "share", "names no backend server: name, zone or group is missing");
@@ -261,19 +269,19 @@
                 return bad(table, "share", "must be between 0 and 1");
             }
         }
-        for (i, limit) in self.out.iter().enumerate() {
+        for (i, limit) in self.outage_limits.iter().enumerate() {
             let table = Some(("out", i));
-            if limit.most.is_none() && limit.share.is_none() {
+            if limit.max.is_none() && limit.share.is_none() {
                 return bad(table, "most", "most or share is missing");
             }
-            if limit.most == Some(0) {
+            if limit.max == Some(0) {
                 return bad(table, "most", "must be at least 1");
             }
             if limit.share.is_some_and(|figure| !share(figure)) {
                 return bad(table, "share", "must be between 0 and 1");
             }
         }
-        for (i, rule) in self.retries.iter().enumerate() {
+        for (i, rule) in self.retry_rules.iter().enumerate() {
             let table = Some(("retries", i));
             let figures = [rule.share, rule.floor, rule.ceiling, rule.burst];
             if figures.iter().any(|figure| !(0.0..=1e6).contains(figure)) {
@@ -285,7 +293,7 @@
             if rule.burst < 1.0 {
                 return bad(table, "burst", "must be at least 1, or no retry fits");
             }
-            for (j, other) in self.retries[..i].iter().enumerate() {
+            for (j, other) in self.retry_rules[..i].iter().enumerate() {
                 // Danger: of two equally specific rules that meet, which one binds would depend on their order.
                 if rule.named() == other.named() && rule.meets(other) {
                     let reason = format!("overlaps rule {} of the same rank: name one thing more", j + 1);
@@ -294,13 +302,13 @@
             }
         }
         if let Some(storm) = &self.storm {
-            if storm.under >= storm.over {
+            if storm.end_below >= storm.start_above {
                 return bad(None, "under", "must be under `over`");
             }
-            if storm.lasting.0 < 0.5 {
+            if storm.hold.0 < 0.5 {
                 return bad(None, "for", "must be at least 500ms");
             }
-            if self.retries.is_empty() {
+            if self.retry_rules.is_empty() {
                 return bad(None, "ceiling", "there is no [[retries]] whose ceiling could fall");
             }
         }
@@ -308,33 +316,33 @@
     }
 
     /// What becomes of a backend server: the strictest of all rules that fit.
-    pub fn verdict(&self, name: &str, zone: &str, group: usize) -> Verdict {
-        let fits = |rule: &&ServerRule| {
+    pub fn weight_adjustment(&self, name: &str, zone: &str, group: usize) -> WeightAdjustment {
+        let fits = |rule: &&EndpointRule| {
             rule.name.as_deref().is_none_or(|n| n == name)
                 && rule.zone.as_deref().is_none_or(|z| z == zone)
                 && rule.group.is_none_or(|g| g == group)
         };
-        let least = self.servers.iter().filter(fits).map(|rule| rule.share).reduce(f64::min);
+        let least = self.endpoint_rules.iter().filter(fits).map(|rule| rule.share).reduce(f64::min);
         match least {
-            None => Verdict::Stays,
-            Some(share) if share <= 0.0 => Verdict::Out,
-            Some(share) => Verdict::Share(share),
+            None => WeightAdjustment::Unchanged,
+            Some(share) if share <= 0.0 => WeightAdjustment::Excluded,
+            Some(share) => WeightAdjustment::Scaled(share),
         }
     }
 
     /// Which retry rule binds, the most specific first.
-    pub fn binds(&self, wanted: &Wanted<'_>) -> Option<usize> {
-        let fits = self.retries.iter().enumerate().filter(|(_, rule)| rule.fits(wanted));
+    pub fn binding_rule(&self, wanted: &RetryAttributes<'_>) -> Option<usize> {
+        let fits = self.retry_rules.iter().enumerate().filter(|(_, rule)| rule.fits(wanted));
         fits.max_by_key(|(_, rule)| rule.named()).map(|(i, _)| i)
     }
 
     /// Which rule binds for a request and why, in one line.
-    pub fn explain(&self, wanted: &Wanted<'_>) -> String {
-        let Some(at) = self.binds(wanted) else {
+    pub fn explain(&self, wanted: &RetryAttributes<'_>) -> String {
+        let Some(at) = self.binding_rule(wanted) else {
             return "no rule binds: the class's own limits and the settings alone".to_owned();
         };
-        let rule = &self.retries[at];
-        let others = self.retries.iter().filter(|rule| rule.fits(wanted)).count() - 1;
+        let rule = &self.retry_rules[at];
+        let others = self.retry_rules.iter().filter(|rule| rule.fits(wanted)).count() - 1;
         format!(
             "rule {} binds ({} things named, {others} less specific fit too): {} for each first try, \
              {} to {} a second over the cluster, burst {}; then {:?}",
@@ -344,21 +352,21 @@
             rule.floor,
             rule.ceiling,
             rule.burst,
-            rule.spent,
+            rule.when_exhausted,
         )
     }
 
     /// How many may be out at once of `of` there are.
-    pub fn allowed(&self, kind: OutOf, zone: &str, tier: u8, of: u32) -> u32 {
-        let fits = |limit: &&OutLimit| {
-            limit.of == kind
+    pub fn outage_limit(&self, kind: OutageKind, zone: &str, tier: u8, of: u32) -> u32 {
+        let fits = |limit: &&OutageLimit| {
+            limit.kind == kind
                 && limit.zone.as_deref().is_none_or(|z| z == zone)
                 && limit.tier.is_none_or(|t| t == tier)
         };
-        let figure = |limit: &OutLimit| {
+        let figure = |limit: &OutageLimit| {
             let share = limit.share.map(|share| ((share * f64::from(of)) as u32).max(1));
-            limit.most.into_iter().chain(share).min().unwrap_or(1)
+            limit.max.into_iter().chain(share).min().unwrap_or(1)
         };
-        self.out.iter().filter(fits).map(figure).min().unwrap_or(1)
+        self.outage_limits.iter().filter(fits).map(figure).min().unwrap_or(1)
     }
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -4,18 +4,19 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
+mod command;
 mod content;
+mod controller;
 mod error;
 mod plan;
-mod steward;
 mod throttle;
-mod word;
 
+pub use crate::command::{Command, CommandEntry, CommandId, CommandOutcome, PermitTarget};
 pub use crate::content::{
-    Content, Happened, MAX_TEXT, OutLimit, OutOf, RetryRule, ServerRule, Spent, Storm, Verdict, Wanted,
+    EndpointRule, ExhaustedAction, MAX_TEXT_BYTES, OutageKind, OutageLimit, RetryAttributes, RetryCause,
+    RetryRule, RevisionContent, StormRule, WeightAdjustment,
 };
+pub use crate::controller::{Controller, MemberState, SidecarStatus};
 pub use crate::error::PlanError;
-pub use crate::plan::{Parts, Permit, PermitState, Phase, Plan, Release, Revision, reach};
-pub use crate::steward::{Presence, Standing, Steward};
-pub use crate::throttle::{Throttle, Tried};
-pub use crate::word::{Answer, Id, Said, What, Word};
+pub use crate::plan::{Checks, Permit, PermitState, Plan, Release, ReleasePhase, Revision, release_position};
+pub use crate::throttle::{RetryDecision, RetryThrottle};
--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -1,8 +1,8 @@
 //! What has been agreed, word for word.
 
-use crate::content::{Content, OutOf};
+use crate::command::{Command, CommandEntry, CommandId, CommandOutcome, PermitTarget};
+use crate::content::{OutageKind, RevisionContent};
 use crate::error::PlanError;
-use crate::word::{Answer, Id, Said, What, Word};
 use cometcroft_consensus::Machine;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -20,22 +20,28 @@
 
 /// Parts that can be left out, as planted defects do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Parts {
+pub struct Checks {
     /// A word that expects another revision is refused.
-    pub expects: bool,
+    pub expected_revision: bool,
     /// A permit is given once.
-    pub once: bool,
+    pub single_grant: bool,
     /// Who is dead or missing counts against the limit.
-    pub missing: bool,
+    pub count_missing: bool,
     /// A halt binds.
-    pub halts: bool,
+    pub halt: bool,
     /// Clear waits for who is cut off.
-    pub waits: bool,
+    pub wait_for_unreachable: bool,
 }
 
-impl Default for Parts {
-    fn default() -> Parts {
-        Parts { expects: true, once: true, missing: true, halts: true, waits: true }
+impl Default for Checks {
+    fn default() -> Checks {
+        Checks {
+            expected_revision: true,
+            single_grant: true,
+            count_missing: true,
+            halt: true,
+            wait_for_unreachable: true,
+        }
     }
 }
 
@@ -45,13 +51,13 @@
     /// The digest of its content.
     pub digest: u64,
     /// At which door it was said.
-    pub by: String,
+    pub proposed_by: String,
     /// Why.
     pub reason: String,
     /// When, by the clock there.
     pub unix_ms: u64,
     /// The revision whose content it puts back.
-    pub of: Option<u32>,
+    pub restores: Option<u32>,
     /// It is kept for ever.
     pub pinned: bool,
 }
@@ -60,18 +66,18 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitState {
     /// It waits for its turn.
-    Waits,
+    Waiting,
     /// It is given, from this entry of the log on.
-    Out {
+    Granted {
         /// Which.
-        since: u64,
+        index: u64,
     },
     /// Nobody sends there any more; forced, if somebody had not confirmed.
     Clear {
         /// Since when it was given.
-        since: u64,
+        index: u64,
         /// By whom it was forced.
-        forced: Option<String>,
+        forced_by: Option<String>,
     },
 }
 
@@ -79,28 +85,38 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Permit {
     /// For what.
-    pub what: What,
+    pub target: PermitTarget,
     /// Its zone.
     pub zone: String,
     /// Its tier.
     pub tier: u8,
     /// At which door it was asked for.
-    pub by: String,
+    pub proposed_by: String,
     /// When it is overdue, by the clock of who asked.
-    pub due_ms: u64,
+    pub overdue_at_ms: u64,
     /// Where it stands.
     pub state: PermitState,
     /// Why it still waits, as of the leader's last try.
-    pub waits_for: Option<PlanError>,
+    pub blocked_by: Option<PlanError>,
 }
 
 /// Which way a release goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Phase {
+pub enum ReleasePhase {
     /// Forward.
-    Going,
+    RollingOut,
     /// Back.
-    Back,
+    RollingBack,
+}
+
+impl ReleasePhase {
+    /// The name under which operators read it.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            ReleasePhase::RollingOut => "Going",
+            ReleasePhase::RollingBack => "Back",
+        }
+    }
 }
 
 /// A release.
@@ -113,18 +129,18 @@
     /// So many waves have begun.
     pub wave: u32,
     /// Which way.
-    pub phase: Phase,
+    pub phase: ReleasePhase,
 }
 
 impl Release {
     /// The share that has it now, in thousandths.
-    pub fn share(&self) -> u16 {
+    pub fn reached_permille(&self) -> u16 {
         (self.wave as usize).checked_sub(1).and_then(|at| self.waves.get(at)).copied().unwrap_or(0)
     }
 }
 
 /// The thousandth at which a release reaches a sidecar: drawn from its name, another for each release.
-pub fn reach(name: &str, revision: u32) -> u16 {
+pub fn release_position(name: &str, revision: u32) -> u16 {
     (xxh3_64(format!("{name}|{revision}").as_bytes()) % 1000) as u16
 }
 
@@ -145,18 +161,18 @@
     halted: Option<String>,
     storm: bool,
     storms: u32,
-    answers: VecDeque<(Id, Answer)>,
+    answers: VecDeque<(CommandId, CommandOutcome)>,
 }
 
 /// What has been agreed.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
     held: Held,
-    parts: Parts,
+    checks: Checks,
     broken: u64,
     unread: u64,
     /// Contents as read, by digest.
-    read: RefCell<BTreeMap<u64, Rc<Content>>>,
+    read: RefCell<BTreeMap<u64, Rc<RevisionContent>>>,
 }
 
 impl PartialEq for Plan {
@@ -173,10 +189,10 @@
             "version = 1\n",
             Revision {
                 digest: 0,
-                by: String::new(),
+                proposed_by: String::new(),
                 reason: "the files alone".to_owned(),
                 unix_ms: 0,
-                of: None,
+                restores: None,
                 pinned: true,
             },
         );
@@ -185,7 +201,7 @@
 
     fn apply(&mut self, index: u64, word: &[u8]) {
         self.held.index = index;
-        match Said::read(word) {
+        match CommandEntry::decode(word) {
             Some(said) => self.said(index, said),
             // Danger: whoever reads it does something that this one does not; it is counted and shown, not hidden.
             None => self.unread += 1,
@@ -205,13 +221,13 @@
 
 impl Plan {
     /// The same with a planted defect.
-    pub fn with(mut self, parts: Parts) -> Plan {
-        self.parts = parts;
+    pub fn with_checks(mut self, checks: Checks) -> Plan {
+        self.checks = checks;
         self
     }
 
     /// What came of a word, as long as it is remembered.
-    pub fn answer(&self, id: Id) -> Option<&Answer> {
+    pub fn outcome(&self, id: CommandId) -> Option<&CommandOutcome> {
         self.held.answers.iter().rev().find(|(known, _)| *known == id).map(|(_, answer)| answer)
     }
 
@@ -221,9 +237,11 @@
     }
 
     /// The revision that a sidecar goes by.
-    pub fn in_force(&self, name: &str) -> u32 {
+    pub fn revision_for(&self, name: &str) -> u32 {
         match &self.held.release {
-            Some(release) if reach(name, release.revision) < release.share() => release.revision,
+            Some(release) if release_position(name, release.revision) < release.reached_permille() => {
+                release.revision
+            }
             _ => self.held.current,
         }
     }
@@ -240,15 +258,15 @@
     }
 
     /// A revision's content; nothing but the files for one that is not kept.
-    pub fn content(&self, revision: u32) -> Rc<Content> {
+    pub fn content(&self, revision: u32) -> Rc<RevisionContent> {
         let digest = self.held.revisions.get(&revision).map_or(0, |revision| revision.digest);
         let mut read = self.read.borrow_mut();
         if read.len() > REVISIONS {
             read.clear();
         }
         let text = self.held.texts.get(&digest);
-        let parse = || text.and_then(|text| Content::parse(text, "revision").ok());
-        let content = || Rc::new(parse().unwrap_or_else(Content::plain));
+        let parse = || text.and_then(|text| RevisionContent::parse(text, "revision").ok());
+        let content = || Rc::new(parse().unwrap_or_else(RevisionContent::empty));
         read.entry(digest).or_insert_with(content).clone()
     }
 
@@ -263,17 +281,17 @@
     }
 
     /// The entry of the release's last step.
-    pub fn stepped(&self) -> u64 {
+    pub fn last_step_index(&self) -> u64 {
         self.held.stepped
     }
 
     /// The entry of the last wave that began.
-    pub fn waved(&self) -> u64 {
+    pub fn last_wave_index(&self) -> u64 {
         self.held.waved
     }
 
     /// By whom everything is halted.
-    pub fn halted(&self) -> Option<&str> {
+    pub fn halted_by(&self) -> Option<&str> {
         self.held.halted.as_deref()
     }
 
@@ -283,24 +301,24 @@
     }
 
     /// Backend servers that are barred by a permit.
-    pub fn barred(&self) -> BTreeSet<&str> {
-        let out = |permit: &&Permit| permit.what.server() && permit.state != PermitState::Waits;
-        self.held.permits.values().filter(out).map(|permit| permit.what.name()).collect()
+    pub fn excluded_endpoints(&self) -> BTreeSet<&str> {
+        let out = |permit: &&Permit| permit.target.is_endpoint() && permit.state != PermitState::Waiting;
+        self.held.permits.values().filter(out).map(|permit| permit.target.name()).collect()
     }
 
-    fn said(&mut self, index: u64, said: Said) {
+    fn said(&mut self, index: u64, said: CommandEntry) {
         // Danger: a word comes to the log twice where its answer was slow; it is done once.
-        if self.answer(said.id).is_some() {
+        if self.outcome(said.id).is_some() {
             return;
         }
-        let (id, expected) = (said.id, said.expects.filter(|_| self.parts.expects));
+        let (id, expected) = (said.id, said.expected_revision.filter(|_| self.checks.expected_revision));
         let done = match expected.filter(|expected| *expected != self.held.current) {
-            Some(expected) => Err(PlanError::Moved { expected, found: self.held.current }),
+            Some(expected) => Err(PlanError::UnexpectedRevision { expected, found: self.held.current }),
             None => self.done(index, said),
         };
         let answer = match done {
-            Ok(number) => Answer::Taken { index, number },
-            Err(error) => Answer::Refused(error),
+            Ok(number) => CommandOutcome::Applied { index, number },
+            Err(error) => CommandOutcome::Rejected(error),
         };
         self.held.answers.push_back((id, answer));
         while self.held.answers.len() > ANSWERS {
@@ -308,34 +326,41 @@
         }
     }
 
-    fn done(&mut self, index: u64, said: Said) -> Result<u32, PlanError> {
-        let Said { by, reason, unix_ms, word, .. } = said;
-        let named = |of| Revision { digest: 0, by: by.clone(), reason, unix_ms, of, pinned: false };
-        match word {
-            Word::Nothing => Ok(self.held.current),
-            Word::Propose { text } => {
+    fn done(&mut self, index: u64, said: CommandEntry) -> Result<u32, PlanError> {
+        let CommandEntry { proposed_by: by, reason, unix_ms, command, .. } = said;
+        let named = |restores| Revision {
+            digest: 0,
+            proposed_by: by.clone(),
+            reason,
+            unix_ms,
+            restores,
+            pinned: false,
+        };
+        match command {
+            Command::Noop => Ok(self.held.current),
+            Command::Propose { text } => {
                 self.idle()?;
                 let revision = self.revise(&text, named(None))?;
                 self.held.current = revision;
                 Ok(revision)
             }
-            Word::RollBack { to } => {
+            Command::RollBackTo { revision: to } => {
                 let text = self.text(to).map(str::to_owned).ok_or_else(|| self.not_kept(to))?;
                 // Whatever is under way: one outcome, for all at once.
                 self.held.release = None;
                 self.held.current = self.revise(&text, named(Some(to)))?;
                 Ok(self.held.current)
             }
-            Word::Pin { revision, on } => {
+            Command::Pin { revision, pinned: on } => {
                 let missing = self.not_kept(revision);
                 let pinned = self.held.revisions.values().filter(|revision| revision.pinned).count();
                 if on && pinned >= REVISIONS / 2 {
-                    return Err(PlanError::Full(REVISIONS as u32 / 2));
+                    return Err(PlanError::TableFull(REVISIONS as u32 / 2));
                 }
                 self.held.revisions.get_mut(&revision).ok_or(missing)?.pinned = on || revision == 0;
                 Ok(revision)
             }
-            Word::Release { text, waves } => {
+            Command::Release { text, waves } => {
                 self.idle()?;
                 self.unhalted()?;
                 let grows = waves.windows(2).all(|pair| pair[0] < pair[1]);
@@ -344,47 +369,48 @@
                     || waves.last() != Some(&1000)
                     || waves.len() > 20
                 {
-                    return Err(PlanError::Waves);
+                    return Err(PlanError::InvalidWaves);
                 }
                 let revision = self.revise(&text, named(None))?;
-                self.held.release = Some(Release { revision, waves, wave: 1, phase: Phase::Going });
+                self.held.release =
+                    Some(Release { revision, waves, wave: 1, phase: ReleasePhase::RollingOut });
                 (self.held.stepped, self.held.waved) = (index, index);
                 Ok(revision)
             }
-            Word::Next { revision, wave } => {
+            Command::AdvanceWave { revision, wave } => {
                 self.unhalted()?;
-                let release = self.under_way(revision, Phase::Going)?;
+                let release = self.under_way(revision, ReleasePhase::RollingOut)?;
                 if wave != release.wave + 1 {
-                    return Err(PlanError::NotNext { wanted: wave, at: release.wave });
+                    return Err(PlanError::OutOfSequence { requested: wave, current: release.wave });
                 }
                 release.wave = wave;
                 (self.held.stepped, self.held.waved) = (index, index);
-                let release = self.under_way(revision, Phase::Going)?;
+                let release = self.under_way(revision, ReleasePhase::RollingOut)?;
                 if wave as usize > release.waves.len() {
                     self.held.release = None;
                     self.held.current = revision;
                 }
                 Ok(revision)
             }
-            Word::Halt => {
+            Command::Halt => {
                 self.held.halted.get_or_insert(by);
                 Ok(self.held.current)
             }
-            Word::Resume => {
+            Command::Resume => {
                 self.held.halted = None;
                 Ok(self.held.current)
             }
-            Word::Back => {
+            Command::RollBackRelease => {
                 let release = self.held.release.as_mut().ok_or(PlanError::NoRelease)?;
-                release.phase = Phase::Back;
+                release.phase = ReleasePhase::RollingBack;
                 let revision = release.revision;
                 self.held.stepped = index;
                 Ok(revision)
             }
-            Word::Undo { revision, wave } => {
-                let release = self.under_way(revision, Phase::Back)?;
+            Command::RollBackWave { revision, wave } => {
+                let release = self.under_way(revision, ReleasePhase::RollingBack)?;
                 if wave + 1 != release.wave {
-                    return Err(PlanError::NotNext { wanted: wave, at: release.wave });
+                    return Err(PlanError::OutOfSequence { requested: wave, current: release.wave });
                 }
                 release.wave = wave;
                 self.held.stepped = index;
@@ -393,54 +419,56 @@
                 }
                 Ok(revision)
             }
-            Word::Ask { what, zone, tier, for_s } => {
+            Command::RequestPermit { target, zone, tier, overdue_after_s } => {
                 let same = |permit: &Permit| {
-                    permit.what.name() == what.name() && permit.what.server() == what.server()
+                    permit.target.name() == target.name()
+                        && permit.target.is_endpoint() == target.is_endpoint()
                 };
                 let known = self.held.permits.iter().find(|(_, permit)| same(permit));
                 if let Some((number, permit)) = known {
                     // A later start of a sidecar takes the place of the one before: that has come back.
-                    if permit.what == what || what.server() {
-                        return Err(PlanError::HasPermit(what.name().to_owned(), *number));
+                    if permit.target == target || target.is_endpoint() {
+                        return Err(PlanError::PermitExists(target.name().to_owned(), *number));
                     }
                     let number = *number;
                     self.held.permits.remove(&number);
                 }
                 if self.held.permits.len() >= PERMITS {
-                    return Err(PlanError::Full(PERMITS as u32));
+                    return Err(PlanError::TableFull(PERMITS as u32));
                 }
                 self.held.last_permit += 1;
-                let due_ms = unix_ms + u64::from(for_s) * 1000;
-                let state = PermitState::Waits;
-                let permit = Permit { what, zone, tier, by, due_ms, state, waits_for: None };
+                let overdue_at_ms = unix_ms + u64::from(overdue_after_s) * 1000;
+                let state = PermitState::Waiting;
+                let permit =
+                    Permit { target, zone, tier, proposed_by: by, overdue_at_ms, state, blocked_by: None };
                 self.held.permits.insert(self.held.last_permit, permit);
                 Ok(self.held.last_permit)
             }
-            Word::Grant { permit, missing, of } => {
+            Command::GrantPermit { permit, missing, total } => {
                 self.unhalted()?;
-                let room = self.room(permit, &missing, of);
-                let once = self.parts.once;
-                let granted = self.held.permits.get_mut(&permit).ok_or(PlanError::NoPermit(permit))?;
-                if granted.state != PermitState::Waits && once {
-                    return Err(PlanError::PermitState(permit, granted.told().to_owned()));
+                let room = self.check_outage_limit(permit, &missing, total);
+                let once = self.checks.single_grant;
+                let granted = self.held.permits.get_mut(&permit).ok_or(PlanError::UnknownPermit(permit))?;
+                if granted.state != PermitState::Waiting && once {
+                    return Err(PlanError::WrongPermitState(permit, granted.state_text().to_owned()));
                 }
                 if let Err(error) = room {
-                    granted.waits_for = Some(error.clone());
+                    granted.blocked_by = Some(error.clone());
                     return Err(error);
                 }
-                granted.state = PermitState::Out { since: index };
-                granted.waits_for = None;
+                granted.state = PermitState::Granted { index };
+                granted.blocked_by = None;
                 Ok(permit)
             }
-            Word::Clear { permit } => self.clear(permit, None),
-            Word::Force { permit } => self.clear(permit, Some(by)),
-            Word::Return { permit } => {
-                self.held.permits.remove(&permit).ok_or(PlanError::NoPermit(permit))?;
+            Command::MarkClear { permit } => self.clear(permit, None),
+            Command::ForceClear { permit } => self.clear(permit, Some(by)),
+            Command::ReturnPermit { permit } => {
+                self.held.permits.remove(&permit).ok_or(PlanError::UnknownPermit(permit))?;
                 Ok(permit)
             }
-            Word::Storm { on, turn } => {
+            Command::SetStorm { active: on, sequence: turn } => {
                 if turn != self.held.storms || on == self.held.storm {
-                    return Err(PlanError::NotNext { wanted: turn, at: self.held.storms });
+                    return Err(PlanError::OutOfSequence { requested: turn, current: self.held.storms });
                 }
                 self.held.storm = on;
                 self.held.storms += 1;
@@ -451,30 +479,31 @@
 
     fn idle(&self) -> Result<(), PlanError> {
         match &self.held.release {
-            Some(release) => Err(PlanError::ReleaseGoesOn(release.revision)),
+            Some(release) => Err(PlanError::ReleaseInProgress(release.revision)),
             None => Ok(()),
         }
     }
 
     fn unhalted(&self) -> Result<(), PlanError> {
         match &self.held.halted {
-            Some(by) if self.parts.halts => Err(PlanError::Halted(by.clone())),
+            Some(by) if self.checks.halt => Err(PlanError::Halted(by.clone())),
             _ => Ok(()),
         }
     }
 
-    fn under_way(&mut self, revision: u32, phase: Phase) -> Result<&mut Release, PlanError> {
+    fn under_way(&mut self, revision: u32, phase: ReleasePhase) -> Result<&mut Release, PlanError> {
         let release = self.held.release.as_mut();
         release.filter(|it| it.revision == revision && it.phase == phase).ok_or(PlanError::NoRelease)
     }
 
-    fn not_kept(&self, wanted: u32) -> PlanError {
+    fn not_kept(&self, requested: u32) -> PlanError {
         let oldest = self.held.revisions.keys().next().copied().unwrap_or(0);
-        PlanError::NotKept { wanted, oldest, newest: self.held.last }
+        PlanError::RevisionNotKept { requested, oldest, newest: self.held.last }
     }
 
     fn revise(&mut self, text: &str, revision: Revision) -> Result<u32, PlanError> {
-        Content::parse(text, "revision").map_err(|error| PlanError::Content(error.to_string()))?;
+        RevisionContent::parse(text, "revision")
+            .map_err(|error| PlanError::InvalidContent(error.to_string()))?;
         self.held.last += 1;
         self.keep(self.held.last, text, revision);
         Ok(self.held.last)
@@ -502,37 +531,37 @@
     }
 
     /// Whether one more may be out; the leader asks the same before it says so.
-    pub fn room(&self, permit: u32, missing: &[String], of: u32) -> Result<(), PlanError> {
-        let wanted = self.held.permits.get(&permit).ok_or(PlanError::NoPermit(permit))?;
-        let kind = if wanted.what.server() { OutOf::Servers } else { OutOf::Sidecars };
-        let allowed = self.content(self.held.current).allowed(kind, &wanted.zone, wanted.tier, of);
+    pub fn check_outage_limit(&self, permit: u32, missing: &[String], total: u32) -> Result<(), PlanError> {
+        let wanted = self.held.permits.get(&permit).ok_or(PlanError::UnknownPermit(permit))?;
+        let kind = if wanted.target.is_endpoint() { OutageKind::Endpoints } else { OutageKind::Sidecars };
+        let allowed = self.content(self.held.current).outage_limit(kind, &wanted.zone, wanted.tier, total);
         let beside = |it: &&Permit| {
-            it.state != PermitState::Waits
-                && it.what.server() == wanted.what.server()
+            it.state != PermitState::Waiting
+                && it.target.is_endpoint() == wanted.target.is_endpoint()
                 && (&it.zone, it.tier) == (&wanted.zone, wanted.tier)
         };
         let mut out: BTreeSet<&str> =
-            self.held.permits.values().filter(beside).map(|it| it.what.name()).collect();
+            self.held.permits.values().filter(beside).map(|it| it.target.name()).collect();
         // Danger: who is dead is out too; a limit that forgets them lets the rest be taken down on top.
-        if self.parts.missing {
+        if self.checks.count_missing {
             out.extend(missing.iter().take(MISSING).map(String::as_str));
         }
-        out.remove(wanted.what.name());
+        out.remove(wanted.target.name());
         if out.len() as u32 + 1 > allowed {
             let who = out.iter().take(8).copied().collect::<Vec<&str>>().join(", ");
-            return Err(PlanError::TooManyOut { out: out.len() as u32, allowed, who });
+            return Err(PlanError::TooManyOut { out: out.len() as u32, allowed, names: who });
         }
         Ok(())
     }
 
-    fn clear(&mut self, permit: u32, forced: Option<String>) -> Result<u32, PlanError> {
-        let cleared = self.held.permits.get_mut(&permit).ok_or(PlanError::NoPermit(permit))?;
+    fn clear(&mut self, permit: u32, forced_by: Option<String>) -> Result<u32, PlanError> {
+        let cleared = self.held.permits.get_mut(&permit).ok_or(PlanError::UnknownPermit(permit))?;
         match cleared.state {
-            PermitState::Out { since } => {
-                cleared.state = PermitState::Clear { since, forced };
+            PermitState::Granted { index } => {
+                cleared.state = PermitState::Clear { index, forced_by };
                 Ok(permit)
             }
-            _ => Err(PlanError::PermitState(permit, cleared.told().to_owned())),
+            _ => Err(PlanError::WrongPermitState(permit, cleared.state_text().to_owned())),
         }
     }
 
@@ -554,26 +583,26 @@
     }
 
     /// Invariants that did not hold, and words that this version can't read.
-    pub fn counted(&self) -> (u64, u64) {
+    pub fn fault_counts(&self) -> (u64, u64) {
         (self.broken, self.unread)
     }
 }
 
 impl Permit {
     /// The entry that gave it, if it was given.
-    pub fn since(&self) -> Option<u64> {
+    pub fn granted_index(&self) -> Option<u64> {
         match self.state {
-            PermitState::Waits => None,
-            PermitState::Out { since } | PermitState::Clear { since, .. } => Some(since),
+            PermitState::Waiting => None,
+            PermitState::Granted { index } | PermitState::Clear { index, .. } => Some(index),
         }
     }
 
     /// Its state in a word.
-    pub fn told(&self) -> &'static str {
+    pub fn state_text(&self) -> &'static str {
         match self.state {
-            PermitState::Waits => "waiting",
-            PermitState::Out { .. } => "out",
-            PermitState::Clear { forced: None, .. } => "clear",
+            PermitState::Waiting => "waiting",
+            PermitState::Granted { .. } => "out",
+            PermitState::Clear { forced_by: None, .. } => "clear",
             PermitState::Clear { .. } => "clear, forced",
         }
     }
--- a/crates/plan/tests/words.rs
+++ b/crates/plan/tests/commands.rs
@@ -2,15 +2,24 @@
 
 use cometcroft_consensus::Machine;
 use cometcroft_plan::{
-    Answer, Content, Id, Parts, PermitState, Plan, PlanError, Presence, Said, Standing, Steward, What, Word,
+    Checks, Command, CommandEntry, CommandId, CommandOutcome, Controller, MemberState, PermitState,
+    PermitTarget, Plan, PlanError, RevisionContent, SidecarStatus,
 };
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn said(id: u64, expects: Option<u32>, word: Word) -> Vec<u8> {
-    Said { id: Id(id), by: "m1".into(), reason: String::new(), unix_ms: 0, expects, word }.bytes()
+fn said(id: u64, expects: Option<u32>, word: Command) -> Vec<u8> {
+    CommandEntry {
+        id: CommandId(id),
+        proposed_by: "m1".into(),
+        reason: String::new(),
+        unix_ms: 0,
+        expected_revision: expects,
+        command: word,
+    }
+    .encode()
 }
 
 fn text(n: u8) -> String {
@@ -29,7 +38,7 @@
 
 #[derive(Debug, Clone)]
 struct Step {
-    word: Word,
+    word: Command,
     expects: Option<u32>,
     /// It is said twice.
     twice: bool,
@@ -45,26 +54,26 @@
         }
         let next = self.texts.keys().last().copied().unwrap_or(0) + 1;
         match &step.word {
-            Word::Propose { text } => {
+            Command::Propose { text } => {
                 if self.release.is_some() {
                     return false;
                 }
                 self.texts.insert(next, text.clone());
                 self.current = next;
             }
-            Word::RollBack { to } => {
+            Command::RollBackTo { revision: to } => {
                 let Some(text) = self.texts.get(to).cloned() else { return false };
                 self.texts.insert(next, text);
                 (self.current, self.release) = (next, None);
             }
-            Word::Release { text, .. } => {
+            Command::Release { text, .. } => {
                 if self.release.is_some() || self.halted {
                     return false;
                 }
                 self.texts.insert(next, text.clone());
                 self.release = Some((next, 1, false));
             }
-            Word::Next { revision, wave } => match self.release {
+            Command::AdvanceWave { revision, wave } => match self.release {
                 Some((it, at, false)) if it == *revision && *wave == at + 1 && !self.halted => {
                     self.release = Some((it, *wave, false));
                     if *wave as usize > WAVES.len() {
@@ -73,15 +82,15 @@
                 }
                 _ => return false,
             },
-            Word::Undo { revision, wave } => match self.release {
+            Command::RollBackWave { revision, wave } => match self.release {
                 Some((it, at, true)) if it == *revision && wave + 1 == at => {
                     self.release = (*wave > 0).then_some((it, *wave, true));
                 }
                 _ => return false,
             },
-            Word::Halt => self.halted = true,
-            Word::Resume => self.halted = false,
-            Word::Back => match &mut self.release {
+            Command::Halt => self.halted = true,
+            Command::Resume => self.halted = false,
+            Command::RollBackRelease => match &mut self.release {
                 Some((.., back)) => *back = true,
                 None => return false,
             },
@@ -104,14 +113,14 @@
         let last = state.texts.keys().last().copied().unwrap_or(0);
         let (revision, wave) = state.release.map_or((last, 1), |(revision, wave, _)| (revision, wave));
         let word = prop_oneof![
-            any::<u8>().prop_map(|n| Word::Propose { text: text(n) }),
-            (0..=last + 1).prop_map(|to| Word::RollBack { to }),
-            any::<u8>().prop_map(|n| Word::Release { text: text(n), waves: WAVES.to_vec() }),
-            (0..3u32).prop_map(move |by| Word::Next { revision, wave: wave + by }),
-            (0..3u32).prop_map(move |by| Word::Undo { revision, wave: wave.saturating_sub(by) }),
-            Just(Word::Halt),
-            Just(Word::Resume),
-            Just(Word::Back),
+            any::<u8>().prop_map(|n| Command::Propose { text: text(n) }),
+            (0..=last + 1).prop_map(|to| Command::RollBackTo { revision: to }),
+            any::<u8>().prop_map(|n| Command::Release { text: text(n), waves: WAVES.to_vec() }),
+            (0..3u32).prop_map(move |by| Command::AdvanceWave { revision, wave: wave + by }),
+            (0..3u32).prop_map(move |by| Command::RollBackWave { revision, wave: wave.saturating_sub(by) }),
+            Just(Command::Halt),
+            Just(Command::Resume),
+            Just(Command::RollBackRelease),
         ];
         let expects = prop_oneof![3 => Just(None), 1 => (0..=last).prop_map(Some)];
         (word, expects, any::<bool>())
@@ -150,11 +159,13 @@
         // What the model held before this step can't be had here; what it holds after it is what must be.
         assert_eq!(real.plan.current(), state.current);
         assert_eq!(real.plan.text(real.plan.current()), state.texts.get(&state.current).map(String::as_str));
-        let release =
-            real.plan.release().map(|it| (it.revision, it.wave, it.phase == cometcroft_plan::Phase::Back));
+        let release = real
+            .plan
+            .release()
+            .map(|it| (it.revision, it.wave, it.phase == cometcroft_plan::ReleasePhase::RollingBack));
         assert_eq!(release, state.release);
-        assert_eq!(real.plan.halted().is_some(), state.halted);
-        assert!(real.plan.answer(Id(real.said)).is_some());
+        assert_eq!(real.plan.halted_by().is_some(), state.halted);
+        assert!(real.plan.outcome(CommandId(real.said)).is_some());
         // A copy by snapshot goes on the same.
         let copy = Plan::restore(&real.plan.snapshot()).expect("its own snapshot");
         assert_eq!(copy, real.plan);
@@ -172,60 +183,64 @@
 }
 
 /// A fleet of six in one zone and a random leader: what must never be, if it was.
-fn broken(parts: Parts, seed: u64) -> Option<&'static str> {
+fn broken(checks: Checks, seed: u64) -> Option<&'static str> {
     let mut rng = fastrand(seed);
-    let mut plan = Plan::fresh().with(parts);
-    let mut steward = Steward::with(parts);
-    let mut all: Vec<Standing> = (0..6).map(standing).collect();
+    let mut plan = Plan::fresh().with_checks(checks);
+    let mut controller = Controller::with_checks(checks);
+    let mut all: Vec<SidecarStatus> = (0..6).map(standing).collect();
     let (mut index, mut id, mut out, mut halted) = (0u64, 0u64, Vec::<String>::new(), false);
     for step in 0..400u64 {
         let mut word = match rng() % 12 {
-            0 => Some(Word::Ask {
-                what: What::Sidecar { name: format!("m{}", rng() % 6), generation: 1 },
+            0 => Some(Command::RequestPermit {
+                target: PermitTarget::Sidecar { name: format!("m{}", rng() % 6), generation: 1 },
                 zone: "a".into(),
                 tier: 0,
-                for_s: 9,
+                overdue_after_s: 9,
             }),
-            1 => Some(Word::Ask {
-                what: What::Server(format!("s{}", rng() % 3)),
+            1 => Some(Command::RequestPermit {
+                target: PermitTarget::Endpoint(format!("s{}", rng() % 3)),
                 zone: "a".into(),
                 tier: 0,
-                for_s: 9,
+                overdue_after_s: 9,
             }),
-            2 => plan.permits().keys().next().map(|permit| Word::Return { permit: *permit }),
-            3 if rng().is_multiple_of(3) => Some(Word::Halt),
-            4 => Some(Word::Resume),
+            2 => plan.permits().keys().next().map(|permit| Command::ReturnPermit { permit: *permit }),
+            3 if rng().is_multiple_of(3) => Some(Command::Halt),
+            4 => Some(Command::Resume),
             5 => {
                 let at = (rng() % 6) as usize;
-                all[at].presence = [Presence::There, Presence::Gone, Presence::There][(rng() % 3) as usize];
+                all[at].state =
+                    [MemberState::Alive, MemberState::Unreachable, MemberState::Alive][(rng() % 3) as usize];
                 None
             }
             6 => {
                 // Who is there hears of what is agreed.
-                all.iter_mut().filter(|it| it.presence == Presence::There).for_each(|it| it.index = index);
+                all.iter_mut()
+                    .filter(|it| it.state == MemberState::Alive)
+                    .for_each(|it| it.confirmed_index = index);
                 None
             }
-            7 => plan.permits().keys().last().map(|permit| Word::Grant {
+            7 => plan.permits().keys().last().map(|permit| Command::GrantPermit {
                 permit: *permit,
                 missing: Vec::new(),
-                of: 6,
+                total: 6,
             }),
             _ => None,
         };
         // A late word of a leader that is none any more, said again: a grant without its grounds is not its way.
-        if let Some(Word::Grant { permit, missing, .. }) = &mut word {
-            let zone_gone = all.iter().filter(|it| it.presence == Presence::Gone).map(|it| it.name.clone());
-            if plan.permits().get(permit).is_some_and(|it| !it.what.server()) {
+        if let Some(Command::GrantPermit { permit, missing, .. }) = &mut word {
+            let zone_gone =
+                all.iter().filter(|it| it.state == MemberState::Unreachable).map(|it| it.name.clone());
+            if plan.permits().get(permit).is_some_and(|it| !it.target.is_endpoint()) {
                 *missing = zone_gone.collect();
             }
         }
-        let word = word.or_else(|| steward.word(&plan, Duration::from_millis(100 * step), &all));
+        let word = word.or_else(|| controller.next_command(&plan, Duration::from_millis(100 * step), &all));
         let Some(word) = word else { continue };
         let (before, expects) =
             (plan.clone(), rng().is_multiple_of(5).then(|| plan.current() + (rng() % 2) as u32));
         (index, id) = (index + 1, id + 1);
         plan.apply(index, &said(id, expects, word.clone()));
-        let taken = matches!(plan.answer(Id(id)), Some(Answer::Taken { .. }));
+        let taken = matches!(plan.outcome(CommandId(id)), Some(CommandOutcome::Applied { .. }));
         if !taken {
             continue;
         }
@@ -233,33 +248,34 @@
             return Some("taken though another revision was expected");
         }
         match word {
-            Word::Halt => halted = true,
-            Word::Resume => halted = false,
-            Word::Grant { permit, .. } => {
+            Command::Halt => halted = true,
+            Command::Resume => halted = false,
+            Command::GrantPermit { permit, .. } => {
                 let granted = &plan.permits()[&permit];
-                if before.permits()[&permit].state != PermitState::Waits {
+                if before.permits()[&permit].state != PermitState::Waiting {
                     return Some("given twice");
                 }
                 if halted {
                     return Some("given after a halt");
                 }
-                if !granted.what.server() {
+                if !granted.target.is_endpoint() {
                     // One may be out: itself; nobody else may be out or dead.
-                    let dead =
-                        all.iter().any(|it| it.presence == Presence::Gone && it.name != granted.what.name());
+                    let dead = all
+                        .iter()
+                        .any(|it| it.state == MemberState::Unreachable && it.name != granted.target.name());
                     let others = plan
                         .permits()
                         .values()
-                        .filter(|it| !it.what.server() && it.state != PermitState::Waits);
+                        .filter(|it| !it.target.is_endpoint() && it.state != PermitState::Waiting);
                     if dead || others.count() > 1 {
                         return Some("too many out");
                     }
-                    out.push(granted.what.name().to_owned());
+                    out.push(granted.target.name().to_owned());
                 }
             }
-            Word::Clear { permit } => {
-                let PermitState::Clear { since, .. } = plan.permits()[&permit].state else { continue };
-                if all.iter().any(|it| it.index < since && it.presence != Presence::Left) {
+            Command::MarkClear { permit } => {
+                let PermitState::Clear { index, .. } = plan.permits()[&permit].state else { continue };
+                if all.iter().any(|it| it.confirmed_index < index && it.state != MemberState::Left) {
                     return Some("clear without one that may still send");
                 }
             }
@@ -269,14 +285,14 @@
     None
 }
 
-fn standing(i: usize) -> Standing {
-    Standing {
+fn standing(i: usize) -> SidecarStatus {
+    SidecarStatus {
         name: format!("m{i}"),
         generation: 1,
         zone: "a".into(),
         tier: 0,
-        presence: Presence::There,
-        index: 0,
+        state: MemberState::Alive,
+        confirmed_index: 0,
         ready: true,
     }
 }
@@ -295,17 +311,17 @@
 #[test]
 fn permits_hold_under_random_words_and_planted_defects_are_found() {
     for seed in 0..300 {
-        assert_eq!(broken(Parts::default(), seed), None, "seed {seed}");
+        assert_eq!(broken(Checks::default(), seed), None, "seed {seed}");
     }
-    let planted: [(&str, Parts); 5] = [
-        ("compare and set left out", Parts { expects: false, ..Parts::default() }),
-        ("a permit given twice", Parts { once: false, ..Parts::default() }),
-        ("the dead not counted", Parts { missing: false, ..Parts::default() }),
-        ("a halt that does not bind", Parts { halts: false, ..Parts::default() }),
-        ("clear without the one cut off", Parts { waits: false, ..Parts::default() }),
+    let planted: [(&str, Checks); 5] = [
+        ("compare and set left out", Checks { expected_revision: false, ..Checks::default() }),
+        ("a permit given twice", Checks { single_grant: false, ..Checks::default() }),
+        ("the dead not counted", Checks { count_missing: false, ..Checks::default() }),
+        ("a halt that does not bind", Checks { halt: false, ..Checks::default() }),
+        ("clear without the one cut off", Checks { wait_for_unreachable: false, ..Checks::default() }),
     ];
-    for (what, parts) in planted {
-        let found = (0..300).find_map(|seed| Some((seed, broken(parts, seed)?)));
+    for (what, checks) in planted {
+        let found = (0..300).find_map(|seed| Some((seed, broken(checks, seed)?)));
         println!("{what}: {found:?}");
         assert!(found.is_some(), "{what}");
     }
@@ -316,20 +332,20 @@
     let mut plan = Plan::fresh();
     let mut say = |index: u64, word| {
         plan.apply(index, &said(index, None, word));
-        (plan.answer(Id(index)).cloned(), plan.clone())
+        (plan.outcome(CommandId(index)).cloned(), plan.clone())
     };
-    say(1, Word::Propose { text: text(0) });
-    say(2, Word::Pin { revision: 1, on: true });
+    say(1, Command::Propose { text: text(0) });
+    say(2, Command::Pin { revision: 1, pinned: true });
     for index in 3..200 {
-        say(index, Word::Propose { text: format!("version = 1\n# {index}\n") });
+        say(index, Command::Propose { text: format!("version = 1\n# {index}\n") });
     }
-    let (answer, kept) = say(200, Word::RollBack { to: 50 });
-    let Some(Answer::Refused(PlanError::NotKept { oldest: 0, newest, .. })) = answer else {
+    let (answer, kept) = say(200, Command::RollBackTo { revision: 50 });
+    let Some(CommandOutcome::Rejected(PlanError::RevisionNotKept { oldest: 0, newest, .. })) = answer else {
         panic!("{answer:?}")
     };
     assert!(kept.revisions().len() <= 64 && newest == 198 && kept.revisions().contains_key(&1));
-    let (answer, back) = say(201, Word::RollBack { to: 1 });
-    assert!(matches!(answer, Some(Answer::Taken { number: 199, .. })));
+    let (answer, back) = say(201, Command::RollBackTo { revision: 1 });
+    assert!(matches!(answer, Some(CommandOutcome::Applied { number: 199, .. })));
     assert_eq!(back.text(199), Some(&*text(0)));
     // Contents are kept once.
     assert_eq!(back.revisions()[&199].digest, back.revisions()[&1].digest);
@@ -359,7 +375,7 @@
 
 #[test]
 fn texts_that_make_no_sense_name_line_field_and_reason() {
-    let told = |text: &str| Content::parse(text, "r.toml").expect_err("refused").to_string();
+    let told = |text: &str| RevisionContent::parse(text, "r.toml").expect_err("refused").to_string();
     assert!(told("version = 2\n").starts_with("r.toml:1:1: version: this program reads version 1"));
     let unknown = told("version = 1\nattemps = 2\n");
     assert!(
@@ -370,7 +386,7 @@
     let overlap = told(rules);
     assert!(overlap.starts_with("r.toml:8:1: share: overlaps rule 1"), "{overlap}");
     assert!(
-        Content::parse(
+        RevisionContent::parse(
             &rules.replacen("class = \"a\"\nshare = 0.2", "tenant = \"t\"\nclass = \"a\"\nshare = 0.2", 1),
             "r"
         )
--- a/crates/plan/tests/wire_format.rs
+++ b/crates/plan/tests/wire_format.rs
@@ -5,8 +5,9 @@
 
 use cometcroft_consensus::Machine;
 use cometcroft_plan::{
-    Answer, Content, Happened, Id, Permit, PermitState, Phase, Plan, PlanError, Said, Spent, Steward, Storm,
-    Wanted, What, Word, reach,
+    Command, CommandEntry, CommandId, CommandOutcome, Controller, ExhaustedAction, Permit, PermitState,
+    PermitTarget, Plan, PlanError, ReleasePhase, RetryAttributes, RetryCause, RevisionContent, StormRule,
+    release_position,
 };
 
 fn hex(bytes: &[u8]) -> String {
@@ -16,53 +17,60 @@
 /// The fields before the command: id 7, by "m1", reason "why", at 1000 ms, no expected revision.
 const PREFIX: &str = "07026d3103776879e80700";
 
-fn said(id: u64, expects: Option<u32>, word: Word) -> Said {
-    Said { id: Id(id), by: "m1".into(), reason: "why".into(), unix_ms: 1000, expects, word }
+fn entry(id: u64, expected_revision: Option<u32>, command: Command) -> CommandEntry {
+    CommandEntry {
+        id: CommandId(id),
+        proposed_by: "m1".into(),
+        reason: "why".into(),
+        unix_ms: 1000,
+        expected_revision,
+        command,
+    }
 }
 
-fn sidecar(name: &str) -> What {
-    What::Sidecar { name: name.into(), generation: 300 }
+fn sidecar(name: &str) -> PermitTarget {
+    PermitTarget::Sidecar { name: name.into(), generation: 300 }
 }
 
-fn ask(what: What) -> Word {
-    Word::Ask { what, zone: "a".into(), tier: 2, for_s: 60 }
+fn request_permit(target: PermitTarget) -> Command {
+    Command::RequestPermit { target, zone: "a".into(), tier: 2, overdue_after_s: 60 }
 }
 
 #[test]
 fn commands_encode_to_the_same_bytes() {
     let text = || "version = 1\n".to_owned();
     let pinned = [
-        (Word::Nothing, "00"),
-        (Word::Propose { text: text() }, "010c76657273696f6e203d20310a"),
-        (Word::RollBack { to: 5 }, "0205"),
-        (Word::Pin { revision: 5, on: true }, "030501"),
-        (Word::Release { text: text(), waves: vec![50, 1000] }, "040c76657273696f6e203d20310a0232e807"),
-        (Word::Next { revision: 5, wave: 2 }, "050502"),
-        (Word::Halt, "06"),
-        (Word::Resume, "07"),
-        (Word::Back, "08"),
-        (Word::Undo { revision: 5, wave: 2 }, "090502"),
-        (ask(sidecar("m0")), "0a00026d30ac020161023c"),
-        (ask(What::Server("s".into())), "0a0101730161023c"),
-        (Word::Grant { permit: 3, missing: vec!["m2".into()], of: 6 }, "0b0301026d3206"),
-        (Word::Clear { permit: 3 }, "0c03"),
-        (Word::Force { permit: 3 }, "0d03"),
-        (Word::Return { permit: 3 }, "0e03"),
-        (Word::Storm { on: true, turn: 4 }, "0f0104"),
+        (Command::Noop, "00"),
+        (Command::Propose { text: text() }, "010c76657273696f6e203d20310a"),
+        (Command::RollBackTo { revision: 5 }, "0205"),
+        (Command::Pin { revision: 5, pinned: true }, "030501"),
+        (Command::Release { text: text(), waves: vec![50, 1000] }, "040c76657273696f6e203d20310a0232e807"),
+        (Command::AdvanceWave { revision: 5, wave: 2 }, "050502"),
+        (Command::Halt, "06"),
+        (Command::Resume, "07"),
+        (Command::RollBackRelease, "08"),
+        (Command::RollBackWave { revision: 5, wave: 2 }, "090502"),
+        (request_permit(sidecar("m0")), "0a00026d30ac020161023c"),
+        (request_permit(PermitTarget::Endpoint("s".into())), "0a0101730161023c"),
+        (Command::GrantPermit { permit: 3, missing: vec!["m2".into()], total: 6 }, "0b0301026d3206"),
+        (Command::MarkClear { permit: 3 }, "0c03"),
+        (Command::ForceClear { permit: 3 }, "0d03"),
+        (Command::ReturnPermit { permit: 3 }, "0e03"),
+        (Command::SetStorm { active: true, sequence: 4 }, "0f0104"),
     ];
-    for (word, bytes) in pinned {
-        let entry = said(7, None, word.clone());
-        assert_eq!(hex(&entry.bytes()), format!("{PREFIX}{bytes}"), "{word:?}");
-        assert_eq!(Said::read(&entry.bytes()), Some(entry));
+    for (command, bytes) in pinned {
+        let logged = entry(7, None, command.clone());
+        assert_eq!(hex(&logged.encode()), format!("{PREFIX}{bytes}"), "{command:?}");
+        assert_eq!(CommandEntry::decode(&logged.encode()), Some(logged));
     }
-    assert_eq!(hex(&said(7, Some(200), Word::Nothing).bytes()), "07026d3103776879e80701c80100");
-    assert_eq!(Said::read(b"\xff\xff\xff"), None);
+    assert_eq!(hex(&entry(7, Some(200), Command::Noop).encode()), "07026d3103776879e80701c80100");
+    assert_eq!(CommandEntry::decode(b"\xff\xff\xff"), None);
 }
 
 #[test]
 fn outcomes_encode_to_the_same_bytes_and_keep_their_codes_and_texts() {
-    let taken = Answer::Taken { index: 300, number: 7 };
-    assert_eq!(hex(&postcard::to_stdvec(&taken).expect("encodes")), "00ac0207");
+    let applied = CommandOutcome::Applied { index: 300, number: 7 };
+    assert_eq!(hex(&postcard::to_stdvec(&applied).expect("encodes")), "00ac0207");
     let pinned = [
         ("plan.content", "revision:1:1: x", "01000f7265766973696f6e3a313a313a2078"),
         ("plan.moved", "revision 2 is in force, the word expects 1", "01010102"),
@@ -88,8 +96,8 @@
     assert_eq!(errors.len(), pinned.len());
     for (error, (code, text, bytes)) in errors.into_iter().zip(pinned) {
         assert_eq!((error.code(), error.to_string().as_str()), (code, text));
-        let refused = Answer::Refused(error);
-        assert_eq!(hex(&postcard::to_stdvec(&refused).expect("encodes")), bytes, "{code}");
+        let rejected = CommandOutcome::Rejected(error);
+        assert_eq!(hex(&postcard::to_stdvec(&rejected).expect("encodes")), bytes, "{code}");
     }
 }
 
@@ -101,69 +109,72 @@
         "000100a9d4afbfa4a4f2e6b601000f7468652066696c657320616c6f6e6500000101a9d4afbfa4a4f2e6b6010c76657273696f6e203d20310a0000000000000000000000"
     );
     let mut index = 0;
-    let mut say = |plan: &mut Plan, expects, word| {
+    let mut apply = |plan: &mut Plan, expects, command| {
         index += 1;
-        plan.apply(index, &said(index, expects, word).bytes());
+        plan.apply(index, &entry(index, expects, command).encode());
     };
     // Permits 1 to 4: waiting, out, clear, clear by force; permit 5 is rejected and keeps the reason.
     for name in ["m0", "m1", "m2", "m3"] {
-        say(&mut plan, None, ask(sidecar(name)));
+        apply(&mut plan, None, request_permit(sidecar(name)));
     }
-    say(
+    apply(
         &mut plan,
         None,
-        Word::Propose { text: "version = 1\n[[out]]\nof = \"sidecars\"\nmost = 3\n".into() },
+        Command::Propose { text: "version = 1\n[[out]]\nof = \"sidecars\"\nmost = 3\n".into() },
     );
     for permit in 2..=4 {
-        say(&mut plan, None, Word::Grant { permit, missing: Vec::new(), of: 6 });
+        apply(&mut plan, None, Command::GrantPermit { permit, missing: Vec::new(), total: 6 });
     }
-    say(&mut plan, None, Word::Clear { permit: 3 });
-    say(&mut plan, None, Word::Force { permit: 4 });
-    say(&mut plan, None, ask(What::Server("s".into())));
-    say(&mut plan, None, Word::Grant { permit: 1, missing: vec!["m5".into()], of: 6 });
+    apply(&mut plan, None, Command::MarkClear { permit: 3 });
+    apply(&mut plan, None, Command::ForceClear { permit: 4 });
+    apply(&mut plan, None, request_permit(PermitTarget::Endpoint("s".into())));
+    apply(&mut plan, None, Command::GrantPermit { permit: 1, missing: vec!["m5".into()], total: 6 });
     let pinned = "0c0200a9d4afbfa4a4f2e6b601000f7468652066696c657320616c6f6e6500000101ef94d7f1dcc3c4e10f026d3103776879e807000002ef94d7f1dcc3c4e10f2d76657273696f6e203d20310a5b5b6f75745d5d0a6f66203d20227369646563617273220a6d6f7374203d20330aa9d4afbfa4a4f2e6b6010c76657273696f6e203d20310a0101050100026d30ac02016102026d31c8dc0300010a04030e6d312c206d322c206d332c206d350200026d31ac02016102026d31c8dc030106000300026d32ac02016102026d31c8dc03020700000400026d33ac02016102026d31c8dc03020801026d310005010173016102026d31c8dc030000050000000000000c0100010102000202030003030400040405000501060006020700070308000804090009030a000a040b000b050c010a04030e6d312c206d322c206d332c206d35";
     assert_eq!(hex(&plan.snapshot()), pinned);
     let permits = |plan: &Plan| plan.permits().values().cloned().collect::<Vec<Permit>>();
-    let told: Vec<&str> = permits(&plan).iter().map(Permit::told).collect();
-    assert_eq!(told, ["waiting", "out", "clear", "clear, forced", "waiting"]);
-    assert_eq!(permits(&plan)[2].state, PermitState::Clear { since: 7, forced: None });
+    let states: Vec<&str> = permits(&plan).iter().map(Permit::state_text).collect();
+    assert_eq!(states, ["waiting", "out", "clear", "clear, forced", "waiting"]);
+    assert_eq!(permits(&plan)[2].state, PermitState::Clear { index: 7, forced_by: None });
 
     // A release that goes forward, one that is rolled back, a halt, a pin, a storm, commands with an expected revision.
     let mut plan = Plan::fresh();
     let mut index = 0;
-    let mut say = |plan: &mut Plan, expects, word| {
+    let mut apply = |plan: &mut Plan, expects, command| {
         index += 1;
-        plan.apply(index, &said(index, expects, word).bytes());
+        plan.apply(index, &entry(index, expects, command).encode());
     };
-    say(&mut plan, Some(9), Word::Propose { text: "version = 1\n".into() });
-    say(
+    apply(&mut plan, Some(9), Command::Propose { text: "version = 1\n".into() });
+    apply(
         &mut plan,
         Some(0),
-        Word::Release { text: "version = 1\nattempts = 2\n".into(), waves: vec![50, 1000] },
+        Command::Release { text: "version = 1\nattempts = 2\n".into(), waves: vec![50, 1000] },
     );
-    say(&mut plan, None, Word::Storm { on: true, turn: 0 });
-    say(&mut plan, None, Word::Pin { revision: 1, on: true });
-    assert_eq!(plan.release().map(|release| release.phase), Some(Phase::Going));
+    apply(&mut plan, None, Command::SetStorm { active: true, sequence: 0 });
+    apply(&mut plan, None, Command::Pin { revision: 1, pinned: true });
+    assert_eq!(plan.release().map(|release| release.phase), Some(ReleasePhase::RollingOut));
     assert_eq!(
         hex(&plan.snapshot()),
         "040200a9d4afbfa4a4f2e6b601000f7468652066696c657320616c6f6e6500000101acfda688d4e4a7bde901026d3103776879e807000102a9d4afbfa4a4f2e6b6010c76657273696f6e203d20310aacfda688d4e4a7bde9011976657273696f6e203d20310a617474656d707473203d20320a0001000001010232e80701000202000101040101010900020002010300030104000401"
     );
-    say(&mut plan, None, Word::Next { revision: 1, wave: 2 });
-    say(&mut plan, None, Word::Halt);
-    say(&mut plan, None, Word::Back);
-    assert_eq!(plan.release().map(|release| release.phase), Some(Phase::Back));
+    apply(&mut plan, None, Command::AdvanceWave { revision: 1, wave: 2 });
+    apply(&mut plan, None, Command::Halt);
+    apply(&mut plan, None, Command::RollBackRelease);
+    assert_eq!(plan.release().map(|release| release.phase), Some(ReleasePhase::RollingBack));
     assert_eq!(
         hex(&plan.snapshot()),
         "070200a9d4afbfa4a4f2e6b601000f7468652066696c657320616c6f6e6500000101acfda688d4e4a7bde901026d3103776879e807000102a9d4afbfa4a4f2e6b6010c76657273696f6e203d20310aacfda688d4e4a7bde9011976657273696f6e203d20310a617474656d707473203d20320a0001000001010232e8070201070501026d310101070101010900020002010300030104000401050005010600060007000701"
     );
     // Operators read the phase under these names in GET /ops/plan.
-    assert_eq!(format!("{:?} {:?}", Phase::Going, Phase::Back), "Going Back");
+    assert_eq!((ReleasePhase::RollingOut.as_str(), ReleasePhase::RollingBack.as_str()), ("Going", "Back"));
 }
 
 #[test]
 fn numbers_drawn_from_hashes_stay_the_same() {
-    assert_eq!((reach("m0", 1), reach("sidecar-17", 4_000_000_000)), (166, 942));
-    assert_eq!(Steward::id(&Word::Next { revision: 1, wave: 2 }, 12), Id(18266974585028129229));
+    assert_eq!((release_position("m0", 1), release_position("sidecar-17", 4_000_000_000)), (166, 942));
+    assert_eq!(
+        Controller::command_id(&Command::AdvanceWave { revision: 1, wave: 2 }, 12),
+        CommandId(18266974585028129229)
+    );
 }
 
 #[test]
@@ -177,15 +188,23 @@
         [[retries]]\nafter = \"may-have-run\"\nshare = 0.1\nceiling = 5.0\n\
         [[retries]]\nafter = \"late\"\nshare = 0.1\nceiling = 5.0\n\
         [storm]\nover = 0.5\nfor = \"2s\"\nunder = 0.1\nceiling = 4.0\n";
-    let content = Content::parse(text, "r").expect("reads");
-    assert_eq!((content.attempts, content.keep, content.servers.len()), (Some(2), 0.25, 1));
-    let causes: Vec<Option<Happened>> = content.retries.iter().map(|rule| rule.after).collect();
-    use Happened::*;
-    assert_eq!(causes, [Some(Refused), Some(NeverConnected), Some(MayHaveRun), Some(Late)]);
-    let spent: Vec<Spent> = content.retries.iter().map(|rule| rule.spent).collect();
-    assert_eq!(spent, [Spent::Count, Spent::Deny, Spent::Deny, Spent::Deny]);
-    let Some(Storm { over, lasting, under, ceiling }) = content.storm else { panic!("no storm rule") };
-    assert_eq!((over, lasting.0, under, ceiling), (0.5, 2.0, 0.1, 4.0));
+    let content = RevisionContent::parse(text, "r").expect("reads");
+    assert_eq!(
+        (content.max_attempts, content.min_endpoint_share, content.endpoint_rules.len()),
+        (Some(2), 0.25, 1)
+    );
+    let causes: Vec<Option<RetryCause>> = content.retry_rules.iter().map(|rule| rule.after).collect();
+    use RetryCause::*;
+    assert_eq!(causes, [Some(Rejected), Some(NeverConnected), Some(MayHaveRun), Some(TimedOut)]);
+    let actions: Vec<ExhaustedAction> = content.retry_rules.iter().map(|rule| rule.when_exhausted).collect();
+    assert_eq!(
+        actions,
+        [ExhaustedAction::Count, ExhaustedAction::Deny, ExhaustedAction::Deny, ExhaustedAction::Deny]
+    );
+    let Some(StormRule { start_above, hold, end_below, ceiling }) = content.storm else {
+        panic!("no storm rule")
+    };
+    assert_eq!((start_above, hold.0, end_below, ceiling), (0.5, 2.0, 0.1, 4.0));
 }
 
 /// A rejected text is stored with its reason in the replicated outcome: sidecars of all versions must write the same reason.
@@ -289,10 +308,11 @@
         ),
     ];
     for (text, reason) in pinned {
-        let error = Content::parse(text, "revision").expect_err("rejected").to_string();
+        let error = RevisionContent::parse(text, "revision").expect_err("rejected").to_string();
         assert_eq!(error, reason, "{text}");
     }
-    let long = Content::parse(&"#".repeat(24 * 1024 + 1), "revision").expect_err("rejected").to_string();
+    let long =
+        RevisionContent::parse(&"#".repeat(24 * 1024 + 1), "revision").expect_err("rejected").to_string();
     assert_eq!(long, "revision: 24577 bytes, 24576 at most");
 }
 
@@ -300,8 +320,9 @@
 fn the_explanation_of_a_binding_rule_stays_the_same() {
     let text = "version = 1\n[[retries]]\nclass = \"c\"\nshare = 0.1\nceiling = 5.0\nspent = \"count\"\n\
         [[retries]]\ntenant = \"t\"\nclass = \"d\"\nshare = 0.1\nfloor = 1.0\nceiling = 5.0\n";
-    let content = Content::parse(text, "r").expect("reads");
-    let explain = |tenant, class| content.explain(&Wanted { tenant, class, tier: 0, zone: "a", after: None });
+    let content = RevisionContent::parse(text, "r").expect("reads");
+    let explain =
+        |tenant, class| content.explain(&RetryAttributes { tenant, class, tier: 0, zone: "a", after: None });
     assert_eq!(
         explain(None, "c"),
         "rule 1 binds (1 things named, 0 less specific fit too): 0.1 for each first try, 0 to 5 a second over the cluster, burst 10; then Count"
--- a/crates/sidecar/src/accord.rs
+++ b/crates/sidecar/src/accord.rs
@@ -7,8 +7,9 @@
 use cometcroft_consensus::{Config, ConsensusError, Log, Place, Status, Time};
 use cometcroft_membership::{Membership, Record};
 use cometcroft_plan::{
-    Answer, Content, Happened, Id, PermitState, Plan, PlanError, Presence, Said, Standing, Steward, Throttle,
-    Tried, Verdict, Wanted, What, Word,
+    Command, CommandEntry, CommandId, CommandOutcome, Controller, MemberState, PermitState, PermitTarget,
+    Plan, PlanError, RetryAttributes, RetryCause, RetryDecision, RetryThrottle, RevisionContent,
+    SidecarStatus, WeightAdjustment,
 };
 use cometcroft_platform::Platform;
 use serde::{Deserialize, Serialize};
@@ -145,8 +146,8 @@
     platform: P,
     origin: Instant,
     log: RefCell<Log<Plan>>,
-    steward: RefCell<Steward>,
-    throttle: RefCell<Throttle>,
+    steward: RefCell<Controller>,
+    throttle: RefCell<RetryThrottle>,
     listener: Listener,
     name: String,
     generation: u64,
@@ -168,7 +169,7 @@
     /// What the leader said last, and when: it is not said again before it can have been agreed on.
     said: Cell<(u64, Time)>,
     heard: RefCell<BTreeMap<String, Heard>>,
-    standing: RefCell<Vec<Standing>>,
+    standing: RefCell<Vec<SidecarStatus>>,
     ready: RefCell<Option<Box<dyn Fn() -> bool>>>,
     barred: Cell<u64>,
     sent: Cell<u64>,
@@ -190,7 +191,7 @@
             origin: platform.now(),
             log: RefCell::new(log),
             steward: RefCell::default(),
-            throttle: RefCell::new(Throttle::new(Rc::new(Content::plain()), Time::ZERO)),
+            throttle: RefCell::new(RetryThrottle::new(Rc::new(RevisionContent::empty()), Time::ZERO)),
             listener,
             name: me.name.to_string(),
             generation,
@@ -263,7 +264,7 @@
 
     fn heard(&self, told: Told) {
         let at = self.now();
-        self.steward.borrow_mut().counted(&told.name, told.tries);
+        self.steward.borrow_mut().record_attempts(&told.name, told.tries);
         let mut heard = self.heard.borrow_mut();
         let known = heard.get(&told.name);
         // Danger: a late word of an older start, or an older word of this one, must not stand for the present.
@@ -297,24 +298,24 @@
         let (heard, founding) = (self.heard.borrow(), self.log.borrow().place().founding);
         for row in &report.members {
             let presence = match row.state {
-                "alive" | "suspect" => Presence::There,
-                "left" => Presence::Left,
-                _ => Presence::Gone,
+                "alive" | "suspect" => MemberState::Alive,
+                "left" => MemberState::Left,
+                _ => MemberState::Unreachable,
             };
-            if presence == Presence::There
+            if presence == MemberState::Alive
                 && let Ok(address) = row.address.parse()
             {
                 peers.push((address, row.zone == self.zone));
             }
             let known = heard.get(&row.name).and_then(|known| known.stands(row.generation, founding, now));
             let (index, ready) = known.unwrap_or_default();
-            standing.push(Standing {
+            standing.push(SidecarStatus {
                 name: row.name.clone(),
                 generation: row.generation,
                 zone: row.zone.clone(),
                 tier: row.tier,
-                presence,
-                index,
+                state: presence,
+                confirmed_index: index,
                 ready,
             });
         }
@@ -322,14 +323,14 @@
         self.log.borrow_mut().meet(peers);
     }
 
-    fn standing_of_own(&self) -> Standing {
-        Standing {
+    fn standing_of_own(&self) -> SidecarStatus {
+        SidecarStatus {
             name: self.name.clone(),
             generation: self.generation,
             zone: self.zone.clone(),
             tier: self.tier,
-            presence: Presence::There,
-            index: self.confirmed(),
+            state: MemberState::Alive,
+            confirmed_index: self.confirmed(),
             ready: self.is_ready(),
         }
     }
@@ -353,7 +354,7 @@
             index: self.in_force.get().index,
             revision: self.revision.get(),
             ready: self.is_ready(),
-            tries: self.throttle.borrow_mut().tries(),
+            tries: self.throttle.borrow_mut().take_counts(),
         };
         let bytes = postcard::to_stdvec(&told).unwrap_or_default();
         self.log.borrow_mut().aside(&bytes);
@@ -375,59 +376,59 @@
                 } else if let Some(stands) =
                     heard.get(&it.name).and_then(|known| known.stands(it.generation, founding, now))
                 {
-                    (it.index, it.ready) = stands;
+                    (it.confirmed_index, it.ready) = stands;
                 }
             }
         }
         let mut log = self.log.borrow_mut();
-        let word = self.steward.borrow_mut().word(log.machine(), now, &self.standing.borrow());
+        let word = self.steward.borrow_mut().next_command(log.machine(), now, &self.standing.borrow());
         let Some(word) = word else { return };
-        let id = Steward::id(&word, log.place().index);
+        let id = Controller::command_id(&word, log.place().index);
         let (last, at) = self.said.get();
         if last == id.0 && now < at + TELL {
             return;
         }
         self.said.set((id.0, now));
-        let said = Said {
+        let said = CommandEntry {
             id,
-            by: self.name.clone(),
+            proposed_by: self.name.clone(),
             reason: "the leader's own".to_owned(),
             unix_ms: self.platform.unix().as_millis() as u64,
-            expects: None,
-            word,
+            expected_revision: None,
+            command: word,
         };
         // One that can't be said now is thought of again.
-        let _ = log.say(now, said.bytes(), now + TELL);
+        let _ = log.say(now, said.encode(), now + TELL);
     }
 
     /// Says a word and waits for what comes of it.
     pub async fn say(
         &self,
-        word: Word,
+        word: Command,
         reason: &str,
         expects: Option<u32>,
         id: Option<u64>,
-    ) -> Result<Answer, Failure> {
-        let id = Id(id.unwrap_or_else(|| self.rng.borrow_mut().u64(1..)));
-        let said = Said {
+    ) -> Result<CommandOutcome, Failure> {
+        let id = CommandId(id.unwrap_or_else(|| self.rng.borrow_mut().u64(1..)));
+        let said = CommandEntry {
             id,
-            by: self.name.clone(),
+            proposed_by: self.name.clone(),
             reason: reason.chars().take(200).collect(),
             unix_ms: self.platform.unix().as_millis() as u64,
-            expects,
-            word,
+            expected_revision: expects,
+            command: word,
         };
         let until = self.platform.now() + ANSWER;
         let now = self.now();
-        if self.log.borrow().machine().answer(id).is_none() {
-            self.log.borrow_mut().say(now, said.bytes(), now + ANSWER)?;
+        if self.log.borrow().machine().outcome(id).is_none() {
+            self.log.borrow_mut().say(now, said.encode(), now + ANSWER)?;
             self.wake.notify_one();
         }
         loop {
             let applied = self.applied.notified();
-            if let Some(answer) = self.log.borrow().machine().answer(id) {
+            if let Some(answer) = self.log.borrow().machine().outcome(id) {
                 return match answer {
-                    Answer::Refused(error) => Err(error.clone().into()),
+                    CommandOutcome::Rejected(error) => Err(error.clone().into()),
                     taken => Ok(taken.clone()),
                 };
             }
@@ -467,8 +468,8 @@
     }
 
     /// This sidecar as what a permit is for: itself, its zone and its tier.
-    pub fn own(&self) -> (What, String, u8) {
-        let what = What::Sidecar { name: self.name.clone(), generation: self.generation };
+    pub fn own(&self) -> (PermitTarget, String, u8) {
+        let what = PermitTarget::Sidecar { name: self.name.clone(), generation: self.generation };
         (what, self.zone.clone(), self.tier)
     }
 
@@ -483,7 +484,7 @@
             let applied = self.applied.notified();
             match self.log.borrow().machine().permits().get(&permit) {
                 None => return false,
-                Some(permit) if permit.state != PermitState::Waits => return true,
+                Some(permit) if permit.state != PermitState::Waiting => return true,
                 Some(_) => {}
             }
             applied.await;
@@ -502,28 +503,28 @@
     }
 
     /// The revision that this sidecar goes by, with its number.
-    pub fn content(&self) -> (u32, Rc<Content>) {
+    pub fn content(&self) -> (u32, Rc<RevisionContent>) {
         let log = self.log.borrow();
-        let revision = log.machine().in_force(&self.name);
+        let revision = log.machine().revision_for(&self.name);
         (revision, log.machine().content(revision))
     }
 
     /// Puts what the revision allows into settings: never more than they allow themselves.
     pub(crate) fn settle(&self, settings: &mut Settings) {
         let (_, content) = self.content();
-        if let Some(attempts) = content.attempts {
+        if let Some(attempts) = content.max_attempts {
             settings.limits.max_attempts = settings.limits.max_attempts.min(attempts);
         }
     }
 
     /// What becomes of a backend server by the plan.
-    pub fn verdict(&self, name: &str, zone: &str, group: usize) -> Verdict {
+    pub fn verdict(&self, name: &str, zone: &str, group: usize) -> WeightAdjustment {
         let log = self.log.borrow();
         let plan = log.machine();
-        if plan.barred().contains(name) {
-            return Verdict::Out;
+        if plan.excluded_endpoints().contains(name) {
+            return WeightAdjustment::Excluded;
         }
-        plan.content(plan.in_force(&self.name)).verdict(name, zone, group)
+        plan.content(plan.revision_for(&self.name)).weight_adjustment(name, zone, group)
     }
 
     /// All that is agreed up to now is in force here: settings, list and policies.
@@ -534,7 +535,7 @@
             let log = self.log.borrow();
             (log.place(), log.machine().storm().0)
         };
-        self.throttle.borrow_mut().change(content, storm, now);
+        self.throttle.borrow_mut().update(content, storm, now);
         if self.storm.replace(storm) != storm {
             (self.listener)(AccordEvent::Storm(storm));
         }
@@ -553,7 +554,7 @@
         &self,
         request: &Request,
         first: bool,
-        after: Option<Happened>,
+        after: Option<RetryCause>,
         part: impl FnOnce() -> f64,
     ) -> bool {
         let class = std::str::from_utf8(request.class()).unwrap_or_default();
@@ -568,33 +569,35 @@
         class: &str,
         tenant: Option<&str>,
         first: bool,
-        after: Option<Happened>,
+        after: Option<RetryCause>,
         part: impl FnOnce() -> f64,
     ) -> bool {
-        let wanted = Wanted { tenant, class, tier: self.tier, zone: &self.zone, after };
+        let wanted = RetryAttributes { tenant, class, tier: self.tier, zone: &self.zone, after };
         let mut throttle = self.throttle.borrow_mut();
         if first {
-            throttle.first(&wanted);
+            throttle.record_first_attempt(&wanted);
             return true;
         }
-        let tried = throttle.retry(&wanted, part(), self.now());
-        let barred = matches!(tried, Tried::Barred(_));
+        let tried = throttle.try_retry(&wanted, part(), self.now());
+        let barred = matches!(tried, RetryDecision::Denied(_));
         self.barred.set(self.barred.get() + u64::from(barred));
         !barred
     }
 
     /// Refuses a text that leaves too few of the backend servers that this door knows.
     pub fn leaves_enough(&self, text: &str, listed: &Listed) -> Result<(), Failure> {
-        let content =
-            Content::parse(text, "revision").map_err(|error| PlanError::Content(error.to_string()))?;
-        if !content.retries.is_empty() && !self.divides {
+        let content = RevisionContent::parse(text, "revision")
+            .map_err(|error| PlanError::InvalidContent(error.to_string()))?;
+        if !content.retry_rules.is_empty() && !self.divides {
             let reason = "retries: needs [[budget.whole]] with use = \"retries\" in the operator's file";
-            return Err(PlanError::Content(reason.to_owned()).into());
+            return Err(PlanError::InvalidContent(reason.to_owned()).into());
         }
         let ready = listed.iter().filter(|(.., ready)| *ready);
         let of = ready.clone().count() as u32;
-        let left = ready.filter(|(name, zone, group, _)| content.verdict(name, zone, *group) != Verdict::Out);
-        enough(left.count() as u32, of, content.keep, "server")
+        let left = ready.filter(|(name, zone, group, _)| {
+            content.weight_adjustment(name, zone, *group) != WeightAdjustment::Excluded
+        });
+        enough(left.count() as u32, of, content.min_endpoint_share, "server")
     }
 
     /// Refuses to bar one more backend server where too few would be left.
@@ -602,9 +605,9 @@
         let (_, content) = self.content();
         let of = listed.len() as u32;
         let stays = |(other, zone, group, ready): &&(String, String, usize, bool)| {
-            *ready && other != name && self.verdict(other, zone, *group) != Verdict::Out
+            *ready && other != name && self.verdict(other, zone, *group) != WeightAdjustment::Excluded
         };
-        enough(listed.iter().filter(stays).count() as u32, of, content.keep, "drain")
+        enough(listed.iter().filter(stays).count() as u32, of, content.min_endpoint_share, "drain")
     }
 
     /// Looks at the log.
@@ -617,8 +620,8 @@
         let log = self.log.borrow();
         let plan = log.machine();
         let known = plan.revisions();
-        let not_kept = || PlanError::NotKept {
-            wanted: revision,
+        let not_kept = || PlanError::RevisionNotKept {
+            requested: revision,
             oldest: known.keys().next().copied().unwrap_or(0),
             newest: known.keys().last().copied().unwrap_or(0),
         };
@@ -642,7 +645,7 @@
         let mut by_revision: BTreeMap<u32, usize> = BTreeMap::new();
         let mut behind = Vec::new();
         if keeper {
-            for it in standing.iter().filter(|it| it.presence != Presence::Left) {
+            for it in standing.iter().filter(|it| it.state != MemberState::Left) {
                 let known = heard.get(&it.name).filter(|known| known.told.generation == it.generation);
                 if let Some(known) = known {
                     *by_revision.entry(known.told.revision).or_default() += 1;
@@ -650,7 +653,7 @@
                 let told = known.map_or(0, |known| known.told.confirms(founding));
                 if told < status.index {
                     let state =
-                        if it.presence == Presence::There { "there" } else { "gone, may still serve" };
+                        if it.state == MemberState::Alive { "there" } else { "gone, may still serve" };
                     let heard_ms = known.map(|known| now.saturating_sub(known.at).as_millis() as u64);
                     behind.push(json!({"name": it.name, "at": told, "state": state, "heard_ms": heard_ms}));
                 }
@@ -660,8 +663,8 @@
             .revisions()
             .iter()
             .map(|(number, it)| {
-                json!({"number": number, "digest": format!("{:016x}", it.digest), "by": it.by, "reason": it.reason,
-                    "unix_ms": it.unix_ms, "of": it.of, "pinned": it.pinned})
+                json!({"number": number, "digest": format!("{:016x}", it.digest), "by": it.proposed_by, "reason": it.reason,
+                    "unix_ms": it.unix_ms, "of": it.restores, "pinned": it.pinned})
             })
             .collect();
         let permits: Vec<Value> = plan
@@ -669,8 +672,8 @@
             .iter()
             .map(|(&number, it)| {
                 let up: Vec<&str> = match it.state {
-                    PermitState::Out { .. } if keeper && it.what.server() => {
-                        let held = self.steward.borrow().holds_up(plan, number, &standing);
+                    PermitState::Granted { .. } if keeper && it.target.is_endpoint() => {
+                        let held = self.steward.borrow().unconfirmed_sidecars(plan, number, &standing);
                         held.iter()
                             .filter(|held| {
                                 heard
@@ -683,21 +686,21 @@
                     }
                     _ => Vec::new(),
                 };
-                let waits = it.waits_for.as_ref().map(ToString::to_string);
-                json!({"number": number, "name": it.what.name(), "server": it.what.server(), "zone": it.zone,
-                    "tier": it.tier, "by": it.by, "state": it.told(), "overdue": unix > it.due_ms,
-                    "waits_for": waits, "held_up_by": up, "since": it.since()})
+                let waits = it.blocked_by.as_ref().map(ToString::to_string);
+                json!({"number": number, "name": it.target.name(), "server": it.target.is_endpoint(), "zone": it.zone,
+                    "tier": it.tier, "by": it.proposed_by, "state": it.state_text(), "overdue": unix > it.overdue_at_ms,
+                    "waits_for": waits, "held_up_by": up, "since": it.granted_index()})
             })
             .collect();
         let release = plan.release().map(|it| {
-            json!({"revision": it.revision, "waves": it.waves, "wave": it.wave, "phase": format!("{:?}", it.phase),
-                "waved": plan.waved()})
+            json!({"revision": it.revision, "waves": it.waves, "wave": it.wave, "phase": it.phase.as_str(),
+                "waved": plan.last_wave_index()})
         });
         json!({
             "log": status, "revision": self.revision.get(), "in_force_to": self.in_force.get().index,
             "current": plan.current(), "revisions": revisions, "permits": permits, "release": release,
-            "halted_by": plan.halted(), "storm": plan.storm().0, "retries_barred": self.barred.get(),
-            "unread_words": plan.counted().1, "invariants_broken": plan.counted().0,
+            "halted_by": plan.halted_by(), "storm": plan.storm().0, "retries_barred": self.barred.get(),
+            "unread_words": plan.fault_counts().1, "invariants_broken": plan.fault_counts().0,
             "keeper": keeper, "at_revision": by_revision, "behind": behind,
         })
     }
@@ -706,7 +709,7 @@
 fn enough(left: u32, of: u32, keep: f64, field: &str) -> Result<(), Failure> {
     if f64::from(left) < keep * f64::from(of) || left == 0 && of > 0 {
         let (field, keep) = (field.to_owned(), keep.to_string());
-        return Err(PlanError::TooLittleLeft { field, left, of, keep }.into());
+        return Err(PlanError::TooFewLeft { field, left, total: of, min_share: keep }.into());
     }
     Ok(())
 }
--- a/crates/sidecar/src/directory.rs
+++ b/crates/sidecar/src/directory.rs
@@ -10,7 +10,7 @@
 use crate::notices::Notices;
 use crate::start_clock::StartClock;
 use cometcroft::*;
-use cometcroft_plan::Verdict;
+use cometcroft_plan::WeightAdjustment;
 use cometcroft_settings::hash;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -25,19 +25,19 @@
     /// As discovery told it.
     told: Member,
     /// What the fleet's plan says of it.
-    verdict: Verdict,
+    verdict: WeightAdjustment,
     /// When the last request began that it took since it started.
     accepted: Option<Instant>,
 }
 
 impl Entry {
     fn is_open(&self) -> bool {
-        self.told.state == State::Ready && self.verdict != Verdict::Out
+        self.told.state == State::Ready && self.verdict != WeightAdjustment::Excluded
     }
 }
 
 /// What the fleet's plan says of a backend server, by name, zone and group.
-pub type Judge = Box<dyn Fn(&str, &str, usize) -> Verdict>;
+pub type Judge = Box<dyn Fn(&str, &str, usize) -> WeightAdjustment>;
 
 /// Where the backend servers are and which of them take nothing new. Told by discovery; the fleet's plan, if there is
 /// one, may bar what discovery lists, and never the other way.
@@ -329,11 +329,11 @@
         self.judge.replace(Some(judge));
     }
 
-    fn judged(&self, name: &str, member: &Member) -> Verdict {
+    fn judged(&self, name: &str, member: &Member) -> WeightAdjustment {
         let judge = self.judge.borrow();
         let zones = self.zones.borrow();
         let zone = zones.get(member.zone.0).map_or("", String::as_str);
-        judge.as_ref().map_or(Verdict::Stays, |judge| judge(name, zone, member.cell.0))
+        judge.as_ref().map_or(WeightAdjustment::Unchanged, |judge| judge(name, zone, member.cell.0))
     }
 
     /// The plan has changed: the entries of which it now says something else, as the module takes them.
@@ -364,12 +364,12 @@
 }
 
 /// What discovery told, and what the plan says of it: the stricter of both.
-fn stricter(mut member: Member, verdict: Verdict) -> Member {
+fn stricter(mut member: Member, verdict: WeightAdjustment) -> Member {
     match verdict {
-        Verdict::Stays => {}
-        Verdict::Share(share) => member.weight *= share,
-        Verdict::Out if member.state == State::Ready => member.state = State::Draining,
-        Verdict::Out => {}
+        WeightAdjustment::Unchanged => {}
+        WeightAdjustment::Scaled(share) => member.weight *= share,
+        WeightAdjustment::Excluded if member.state == State::Ready => member.state = State::Draining,
+        WeightAdjustment::Excluded => {}
     }
     member
 }
--- a/crates/sidecar/src/dispatch.rs
+++ b/crates/sidecar/src/dispatch.rs
@@ -9,7 +9,7 @@
 use crate::session::{Carrier, Ended, Later, Probed};
 use crate::upload::Upload;
 use cometcroft::{ClassId, Outcome, UpstreamId};
-use cometcroft_plan::Happened;
+use cometcroft_plan::RetryCause;
 use cometcroft_platform::Platform;
 use cometcroft_settings::Field;
 use std::cell::{Cell, RefCell};
@@ -29,7 +29,7 @@
     /// Attempts that were begun.
     pub begun: Cell<u32>,
     /// How the last of them ended, if it did not succeed.
-    pub ended: Cell<Option<Happened>>,
+    pub ended: Cell<Option<RetryCause>>,
 }
 
 /// Brings dispatches and probes to backend servers over HTTP.
@@ -93,12 +93,12 @@
 }
 
 /// What policies on retries call an outcome.
-fn happened(outcome: Outcome) -> Option<Happened> {
+fn happened(outcome: Outcome) -> Option<RetryCause> {
     match outcome {
-        Outcome::Full => Some(Happened::Refused),
-        Outcome::ConnectFailed => Some(Happened::NeverConnected),
-        Outcome::Error | Outcome::Reset => Some(Happened::MayHaveRun),
-        Outcome::Timeout | Outcome::Cancelled => Some(Happened::Late),
+        Outcome::Full => Some(RetryCause::Rejected),
+        Outcome::ConnectFailed => Some(RetryCause::NeverConnected),
+        Outcome::Error | Outcome::Reset => Some(RetryCause::MayHaveRun),
+        Outcome::Timeout | Outcome::Cancelled => Some(RetryCause::TimedOut),
         // Never sent: what came before it counts on.
         Outcome::Ok | Outcome::Moot => None,
     }
--- a/crates/sidecar/src/fleet.rs
+++ b/crates/sidecar/src/fleet.rs
@@ -7,7 +7,7 @@
 use cometcroft::Settings;
 use cometcroft_budget::is_ours;
 use cometcroft_membership::{Change, Config, Headcount, MAX_DATAGRAM, Membership, Output, Time};
-use cometcroft_plan::Happened;
+use cometcroft_plan::RetryCause;
 use cometcroft_platform::{Datagrams, Listener, Platform, Task};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -292,7 +292,7 @@
     }
 
     /// Whether an attempt may go out: the first may; further ones by the plan's policies and by the budget.
-    pub fn attempts(&self, request: &Request, first: bool, after: Option<Happened>) -> bool {
+    pub fn attempts(&self, request: &Request, first: bool, after: Option<RetryCause>) -> bool {
         // Danger: a sidecar whose file divides nothing must not take the whole for its part.
         let alone = 1.0 / f64::from(self.at_work().max(1));
         let part = || self.purses.as_ref().map_or(alone, |purses| purses.share_of_retries().unwrap_or(alone));
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -5,7 +5,7 @@
 use clap::{Parser, Subcommand};
 use cometcroft_budget::Event;
 use cometcroft_membership::Change;
-use cometcroft_plan::{Content, Happened, Wanted};
+use cometcroft_plan::{RetryAttributes, RetryCause, RevisionContent};
 use cometcroft_platform::{Platform, Tokio};
 use cometcroft_sidecar::Parts;
 use cometcroft_sidecar::accord::{AccordEvent, AccordParts};
@@ -76,20 +76,21 @@
 fn check_plan(file: &std::path::Path, explain: Option<&str>) -> ExitCode {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|error| format!("{name}: {error}"));
-    let content = text.and_then(|text| Content::parse(&text, &name).map_err(|error| error.to_string()));
+    let content =
+        text.and_then(|text| RevisionContent::parse(&text, &name).map_err(|error| error.to_string()));
     let told = content.and_then(|content| match explain {
         None => Ok(format!(
             "version {}: {} server rules, {} limits of outages, {} retry rules{}",
             content.version,
-            content.servers.len(),
-            content.out.len(),
-            content.retries.len(),
+            content.endpoint_rules.len(),
+            content.outage_limits.len(),
+            content.retry_rules.len(),
             if content.storm.is_some() { ", a storm rule" } else { "" },
         )),
         Some(request) => wanted(request).map(|[class, tenant, tier, zone, after]| {
             let (tier, after) = (tier.and_then(|t| t.parse().ok()).unwrap_or(0), after.and_then(happened));
             let class = class.unwrap_or_default();
-            content.explain(&Wanted { tenant, class, tier, zone: zone.unwrap_or_default(), after })
+            content.explain(&RetryAttributes { tenant, class, tier, zone: zone.unwrap_or_default(), after })
         }),
     });
     match told {
@@ -120,12 +121,12 @@
     Ok(fields)
 }
 
-fn happened(word: &str) -> Option<Happened> {
+fn happened(word: &str) -> Option<RetryCause> {
     match word {
-        "refused" => Some(Happened::Refused),
-        "never-connected" => Some(Happened::NeverConnected),
-        "may-have-run" => Some(Happened::MayHaveRun),
-        "late" => Some(Happened::Late),
+        "refused" => Some(RetryCause::Rejected),
+        "never-connected" => Some(RetryCause::NeverConnected),
+        "may-have-run" => Some(RetryCause::MayHaveRun),
+        "late" => Some(RetryCause::TimedOut),
         _ => None,
     }
 }
--- a/crates/sidecar/src/words.rs
+++ b/crates/sidecar/src/words.rs
@@ -6,7 +6,7 @@
 use crate::http::server::{Request, Status};
 use crate::lifecycle::Life;
 use cometcroft_consensus::ConsensusError;
-use cometcroft_plan::{Answer, What, Word};
+use cometcroft_plan::{Command, CommandOutcome, PermitTarget};
 use cometcroft_platform::Platform;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -129,19 +129,19 @@
             let index = accord.found().await.map_err(|failure| refused(&failure))?;
             return Ok(json!({"founded": true, "index": index}));
         }
-        b"/read" => Word::Nothing,
+        b"/read" => Command::Noop,
         b"/propose" | b"/release" => {
             let text = text()?;
             accord.leaves_enough(&text, &directory.listed()).map_err(|failure| refused(&failure))?;
             match query.get("waves") {
-                None if path == b"/propose" => Word::Propose { text },
+                None if path == b"/propose" => Command::Propose { text },
                 None => return Err(bad("waves", "is missing: shares in thousandths, such as 50,250,1000")),
                 Some(_) if path == b"/propose" => return Err(bad("waves", "belongs to /ops/plan/release")),
                 Some(waves) => {
                     let waves: Result<Vec<u16>, _> =
                         waves.split(',').map(|wave| wave.trim().parse()).collect();
                     let waves = waves.map_err(|_| bad("waves", "wants whole numbers with commas"))?;
-                    Word::Release { text, waves }
+                    Command::Release { text, waves }
                 }
             }
         }
@@ -150,12 +150,12 @@
             // A revision that was right once may leave too little of what is there now.
             let text = accord.text(to).map_err(|failure| refused(&failure))?;
             accord.leaves_enough(&text, &directory.listed()).map_err(|failure| refused(&failure))?;
-            Word::RollBack { to }
+            Command::RollBackTo { revision: to }
         }
-        b"/pin" => Word::Pin { revision: wanted(&query, "revision")?, on: !query.contains_key("off") },
-        b"/halt" => Word::Halt,
-        b"/resume" => Word::Resume,
-        b"/back" => Word::Back,
+        b"/pin" => Command::Pin { revision: wanted(&query, "revision")?, pinned: !query.contains_key("off") },
+        b"/halt" => Command::Halt,
+        b"/resume" => Command::Resume,
+        b"/back" => Command::RollBackRelease,
         b"/drain" => {
             let name: String = wanted(&query, "server")?;
             let listed = directory.listed();
@@ -165,31 +165,36 @@
             };
             accord.spares(&name, &listed).map_err(|failure| refused(&failure))?;
             let (zone, tier) = (zone.clone(), accord.tier());
-            Word::Ask {
-                what: What::Server(name),
+            Command::RequestPermit {
+                target: PermitTarget::Endpoint(name),
                 zone,
                 tier,
-                for_s: number(&query, "for_s")?.unwrap_or(FOR_S),
+                overdue_after_s: number(&query, "for_s")?.unwrap_or(FOR_S),
             }
         }
         b"/restart" => {
             let (what, zone, tier) = accord.own();
-            Word::Ask { what, zone, tier, for_s: number(&query, "for_s")?.unwrap_or(FOR_S) }
+            Command::RequestPermit {
+                target: what,
+                zone,
+                tier,
+                overdue_after_s: number(&query, "for_s")?.unwrap_or(FOR_S),
+            }
         }
-        b"/return" => Word::Return { permit: permit(&query)? },
-        b"/force" => Word::Force { permit: permit(&query)? },
+        b"/return" => Command::ReturnPermit { permit: permit(&query)? },
+        b"/force" => Command::ForceClear { permit: permit(&query)? },
         _ => return Err((Status::NotFound, json!({}))),
     };
     let reason = query.get("reason").map(String::as_str).unwrap_or_default();
     let (expects, id) = (number(&query, "expects")?, number(&query, "id")?);
     match accord.say(word, reason, expects, id).await {
-        Ok(Answer::Taken { index, number }) => {
+        Ok(CommandOutcome::Applied { index, number }) => {
             if path == b"/restart" && query.contains_key("leave") {
                 leave_in_turn(accord, life, number);
             }
             Ok(json!({"taken": true, "index": index, "number": number}))
         }
-        Ok(Answer::Refused(error)) => Err(refused(&error.into())),
+        Ok(CommandOutcome::Rejected(error)) => Err(refused(&error.into())),
         Err(failure) => Err(refused(&failure)),
     }
 }
--- a/crates/sidecar/tests/parts.rs
+++ b/crates/sidecar/tests/parts.rs
@@ -309,16 +309,14 @@
 
 #[test]
 fn what_the_plan_bars_stays_barred_whatever_discovery_says_and_comes_back_as_discovery_has_it() {
-    use cometcroft_plan::Verdict;
+    use cometcroft_plan::WeightAdjustment;
     use std::{cell::Cell, rc::Rc};
     let directory = Directory::new(vec!["z".into()], Duration::ZERO, Tokio.unix());
-    let verdict = Rc::new(Cell::new(Verdict::Out));
+    let verdict = Rc::new(Cell::new(WeightAdjustment::Excluded));
     let judging = verdict.clone();
-    directory.judge_by(Box::new(
-        move |name, zone, _| {
-            if (name, zone) == ("a", "z") { judging.get() } else { Verdict::Stays }
-        },
-    ));
+    directory.judge_by(Box::new(move |name, zone, _| {
+        if (name, zone) == ("a", "z") { judging.get() } else { WeightAdjustment::Unchanged }
+    }));
     let row = |name, status| json!({"name": name, "address": "127.0.0.1:7", "zone": "z", "status": status, "weight": 2.0});
     let list = |index: u32, status| json!({"index": index, "snapshot": true, "endpoints": [row("a", status), row("b", "up")]});
     let news = taken(&directory, &list(1, "up")).expect("a list");
@@ -326,13 +324,13 @@
     let open = |id| directory.open(UpstreamId(id));
     assert!(!open(0) && open(1), "a bar has no grace, and bars nobody else");
     assert!(directory.judge().is_empty(), "nothing has changed");
-    verdict.set(Verdict::Share(0.5));
+    verdict.set(WeightAdjustment::Scaled(0.5));
     let back = directory.judge();
     assert_eq!((back.len(), back[0].state, back[0].weight), (1, State::Ready, 1.0));
     assert!(open(0));
     // Discovery is stricter: no verdict opens what it drains.
     taken(&directory, &list(2, "draining")).expect("a list");
-    verdict.set(Verdict::Stays);
+    verdict.set(WeightAdjustment::Unchanged);
     assert_eq!(directory.judge()[0].state, State::Draining);
 }
 
