--- a/crates/budget/tests/fuzz.rs
+++ b/crates/budget/tests/fuzz.rs
@@ -69,7 +69,8 @@
             std::fs::write(corpus_dir().join(format!("said-{i:02}")), bytes).expect("the sample is written");
         }
     }
-    let mut kinds: Vec<u8> = read_corpus().iter().filter_map(|bytes| bytes.get(KIND_OFFSET).copied()).collect();
+    let mut kinds: Vec<u8> =
+        read_corpus().iter().filter_map(|bytes| bytes.get(KIND_OFFSET).copied()).collect();
     kinds.sort_unstable();
     kinds.dedup();
     assert!(
