--- a/crates/sidecar/src/accord/tests.rs
+++ b/crates/sidecar/src/accord/tests.rs
@@ -15,3 +15,21 @@
     assert_eq!((before.confirms(2), after.confirms(2)), (0, 400));
     assert!(told(2, 1, 1).place() > after.place(), "a later start is later whatever it has read");
 }
+
+#[test]
+fn what_goes_to_the_voters_has_these_bytes() {
+    let told = Told {
+        name: "m".to_owned(),
+        generation: 300,
+        founding: 2,
+        index: 5,
+        revision: 7,
+        ready: true,
+        tries: (1, 200),
+    };
+    // Name, generation, founding, index, revision, ready, tries: sidecars of two versions read one another.
+    let bytes = [1, b'm', 0xac, 0x02, 2, 5, 7, 1, 1, 0xc8, 0x01];
+    assert_eq!(postcard::to_stdvec(&told).expect("it has a form"), bytes);
+    let read: Told = postcard::from_bytes(&bytes).expect("it is read");
+    assert_eq!(format!("{read:?}"), format!("{told:?}"));
+}
