--- a/crates/module/src/interface.rs
+++ b/crates/module/src/interface.rs
@@ -1,227 +1,229 @@
-//! The whole interface of the module: settings, ids, events, actions. No decisions and no wire words.
+//! The public interface of the module: settings, identifiers, events and actions. Decisions and wire formats
+//! live elsewhere.
 
 use std::fmt;
 use std::time::Duration;
 
-/// A point on the host's monotonic clock, counted from an origin the host chooses.
+/// A point on the host's monotonic clock, counted from an origin that the host chooses.
 pub type Time = Duration;
 
-/// A request; the host interns its own ids.
+/// Identifier of a request, assigned by the host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// An endpoint; a small integer, given out in order of first sight.
+/// Identifier of an endpoint: a small integer that the host assigns in the order in which endpoints first
+/// appear.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
-/// A position in [`Settings::classes`].
+/// Index into [`Settings::classes`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClassId(pub usize);
 
-/// A position in [`Settings::tenants`].
+/// Index into [`Settings::tenants`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TenantId(pub usize);
 
-/// A position in the host's list of zones.
+/// Index into the host's list of zones.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ZoneId(pub usize);
 
-/// A set of endpoints that share which keys they have seen.
+/// A group of endpoints that share their record of idempotency keys.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct CellId(pub usize);
 
-/// Which endpoints discard repeats of a keyed request.
+/// The endpoints that discard duplicates of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
     /// All endpoints.
     All,
-    /// Those in the zone of the endpoint that may have run it.
+    /// Endpoints in the same zone as the endpoint that may have run the request.
     Zone,
-    /// Those in its cell.
+    /// Endpoints in the same cell as that endpoint.
     Cell,
 }
 
-/// What a repeat of a request does.
+/// The effect of running a request more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: it may be repeated freely.
+    /// None: the request may be retried freely.
     Safe,
-    /// Endpoints within `scope` drop a repeat for `window` after the first send that may have run.
+    /// Endpoints within `scope` discard duplicates for `window` after the first attempt that may have run.
     Keyed {
-        /// Who drops it.
+        /// The endpoints that discard duplicates.
         scope: DedupScope,
-        /// For how long.
+        /// Time for which they do.
         window: Duration,
     },
-    /// It takes effect again.
+    /// Each run takes effect again.
     Unsafe,
 }
 
-/// A class of requests.
+/// A class of requests with the same timing, effect and value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestClass {
-    /// An answer within this time has the full worth.
+    /// Time within which a response has its full value.
     pub target_latency: Duration,
-    /// If set, the aim grows by this multiple of the request's own work, up to the deadline.
+    /// If positive, the target latency grows by this multiple of the request's own work, up to the deadline.
     pub target_latency_work_factor: f64,
-    /// How long a client waits in all.
+    /// Time that a client waits for a response.
     pub deadline: Duration,
-    /// Whether it may run again.
+    /// The effect of running a request of this class more than once.
     pub effect: Effect,
-    /// Worth of one request (or of a unit of its work).
+    /// Value of one request (or of a unit of its work).
     pub value: f64,
-    /// Share of the worth that is left after the aim.
+    /// Fraction of the value that is left after the target latency.
     pub late_value: f64,
 }
 
-/// A tenant and its share of the service.
+/// A tenant and its quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests a second over all balancers within its share.
+    /// Requests per second within the quota, over all sidecars.
     pub quota_per_s: f64,
 }
 
-/// What the host permits.
+/// Actions that the host permits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// [`Action::Cancel`] is permitted.
+    /// Permits [`Action::Cancel`].
     pub cancel: bool,
-    /// [`Action::Probe`] is permitted.
+    /// Permits [`Action::Probe`].
     pub probes: bool,
-    /// Two attempts of a request may be out at once.
+    /// Permits two concurrent attempts of one request.
     pub hedging: bool,
-    /// Attempts of one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Refusals may carry advice on when to come again.
+    /// Permits [`Action::Reject`] to carry a `retry_after`.
     pub retry_after: bool,
-    /// The longest such advice.
+    /// Upper bound of `retry_after`.
     pub max_retry_after: Duration,
 }
 
-/// The figures of the four rules.
+/// Rules that the balancer must keep, and the behavior of endpoints behind them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rules {
-    /// A fresh endpoint has at least this fraction of its capacity.
+    /// Minimum fraction of its capacity that an endpoint has right after its start.
     pub cold_capacity: f64,
-    /// And all of it after this time.
+    /// Time after its start until an endpoint has its full capacity.
     pub ramp: Duration,
-    /// Sent more than this multiple of its present capacity ...
+    /// An endpoint that is sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
-    /// ... for this long, it falls over.
+    /// ... for this long becomes overloaded and fails.
     pub overload_after: Duration,
-    /// Time within which sends to a draining endpoint cease.
+    /// Time after the notification within which attempts to a draining endpoint must cease.
     pub drain_grace: Duration,
-    /// Where [`Discovery::Subscribe`]: ask again within this time.
+    /// With [`Discovery::Subscribe`]: time within which a failed subscription is tried again.
     pub resubscribe_within: Duration,
-    /// If set, idle connections to a draining endpoint are closed within this time of the notice or, if
-    /// later, of the last send or outcome there.
+    /// If set, idle connections to a draining endpoint are closed within this time of the notification or,
+    /// if later, of the last attempt or outcome at that endpoint.
     pub close_idle_within: Option<Duration>,
-    /// If set, attempts beyond each request's first are rationed.
+    /// If set, the budget that all retries and hedged attempts must stay within.
     pub retry_budget: Option<RetryBudget>,
-    /// Only an endpoint that was listed as draining is barred; one that is listed as gone, or left out of
-    /// the list, without having drained may still be sent to.
+    /// Keeps endpoints eligible that are listed as removed, or missing from a complete list, without having
+    /// drained; only endpoints that were listed as draining are excluded.
     pub use_removed_endpoints: bool,
 }
 
-/// How many attempts beyond each request's first a balancer may make within any `window`: `free` of them,
-/// and `ratio` for each request that it took in that time.
+/// Limit on retries and hedged attempts: within any `window`, a sidecar may make `min_retries` of them plus
+/// `ratio` for each request that it received in that time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
-    /// Permitted however light the traffic is.
+    /// Number permitted regardless of traffic.
     pub min_retries: f64,
-    /// Permitted on top for each request taken.
+    /// Number permitted in addition per request received.
     pub ratio: f64,
-    /// The stretch of time over which both are counted.
+    /// Length of the sliding window in which both are counted.
     pub window: Duration,
 }
 
-/// What the host charges, in fractions of the result.
+/// Costs that the host deducts, as fractions of the total value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Prices {
-    /// A probe, per first try.
+    /// Cost of one probe per first attempt.
     pub probe: f64,
-    /// Wasted endpoint work, as a fraction of the work offered.
+    /// Cost of wasted endpoint work, as a fraction of the work offered.
     pub waste: f64,
-    /// An attempt into another zone, per first try.
+    /// Cost of one cross-zone attempt per first attempt.
     pub cross_zone: f64,
 }
 
-/// Where load reports come from.
+/// The source of load reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportSource {
-    /// With outcomes and probe results.
+    /// Attempt outcomes and probe results.
     Responses,
-    /// With probe results alone.
+    /// Probe results only.
     Probes,
-    /// From nowhere.
+    /// No load reports.
     None,
 }
 
-/// How lists of endpoints come.
+/// How endpoint lists are delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Discovery {
-    /// By themselves.
+    /// Discovery pushes them.
     Push,
-    /// After [`Action::Subscribe`].
+    /// Discovery sends them after [`Action::Subscribe`].
     Subscribe,
 }
 
-/// What [`EndpointEntry::weight`] means.
+/// The meaning of [`EndpointEntry::weight`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WeightKind {
-    /// Nothing.
+    /// None; weights are ignored.
     None,
-    /// The size of the endpoint, exactly or about.
+    /// Exact or approximate size of the endpoint.
     Size,
-    /// The size divided by 1 + requests held per core, some time ago.
+    /// Size divided by (1 + requests in flight per core), measured some time ago.
     Live,
 }
 
-/// What a balancer is told at its start.
+/// Settings of one balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Balancers of this tier.
+    /// Number of sidecars in this tier.
     pub instances: u32,
-    /// The number of this balancer among them, counted from 0.
+    /// Index of this sidecar among them, counted from 0.
     pub rank: u32,
-    /// The tier this balancer sends to; 0 is the one clients call.
+    /// The tier that this sidecar sends to; tier 0 is the one that clients call.
     pub tier: usize,
-    /// How many tiers there are.
+    /// Number of tiers.
     pub tiers: usize,
-    /// The zone this balancer is in.
+    /// The zone of this sidecar.
     pub zone: ZoneId,
-    /// How many zones there are.
+    /// Number of zones.
     pub zones: usize,
-    /// A call between tiers carries the time its caller has left.
+    /// Requests between tiers carry the time that is left until the deadline.
     pub propagates_deadline: bool,
-    /// The least time between two turns of the host.
+    /// Minimum time between two runs of the host's event loop.
     pub host_tick: Duration,
-    /// Request classes.
+    /// Request classes; must not be empty.
     pub classes: Vec<RequestClass>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request over its tenant's share, as a fraction.
+    /// Fraction of the value that is left for requests over their tenant's quota.
     pub over_quota_value: f64,
-    /// What is permitted.
+    /// Permitted actions.
     pub limits: Limits,
-    /// Figures of the four rules.
+    /// Rules to keep.
     pub rules: Rules,
-    /// Charges.
+    /// Costs of probes, waste and cross-zone attempts.
     pub prices: Prices,
-    /// Where reports come from.
+    /// Source of load reports.
     pub reports: ReportSource,
-    /// How lists come.
+    /// Delivery of endpoint lists.
     pub discovery: Discovery,
     /// Meaning of weights.
     pub weights: WeightKind,
 }
 
-/// A setting that makes no sense.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The field.
+    /// Path of the field.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// The requirement that it fails.
     pub reason: &'static str,
 }
 
@@ -234,30 +236,30 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Checks that the figures make sense.
+    /// Checks that all values are in range.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let bad = |field, reason| Err(SettingsError { field, reason });
+        let invalid = |field, reason| Err(SettingsError { field, reason });
         if self.classes.is_empty() {
-            return bad("classes", "must not be empty");
+            return invalid("classes", "must not be empty");
         }
         if self.instances == 0 {
-            return bad("instances", "must be at least 1");
+            return invalid("instances", "must be at least 1");
         }
         if self.tier >= self.tiers {
-            return bad("tier", "out of range");
+            return invalid("tier", "out of range");
         }
         if self.zone.0 >= self.zones {
-            return bad("zone", "out of range");
+            return invalid("zone", "out of range");
         }
         if self.limits.max_attempts == 0 {
-            return bad("limits.max_attempts", "must be at least 1");
+            return invalid("limits.max_attempts", "must be at least 1");
         }
         for class in &self.classes {
             if class.target_latency.is_zero() {
-                return bad("classes.target_latency", "must be positive");
+                return invalid("classes.target_latency", "must be positive");
             }
             if class.deadline.is_zero() {
-                return bad("classes.deadline", "must be positive");
+                return invalid("classes.deadline", "must be positive");
             }
         }
         let per_class = self.classes.iter().flat_map(|c| {
@@ -267,7 +269,7 @@
                 ("classes.target_latency_work_factor", c.target_latency_work_factor),
             ]
         });
-        let figures = [
+        let values = [
             ("over_quota_value", self.over_quota_value),
             ("rules.cold_capacity", self.rules.cold_capacity),
             ("rules.overload_factor", self.rules.overload_factor),
@@ -276,266 +278,267 @@
             ("prices.cross_zone", self.prices.cross_zone),
         ];
         let quotas = self.tenants.iter().map(|t| ("tenants.quota_per_s", t.quota_per_s));
-        for (field, figure) in figures.into_iter().chain(per_class).chain(quotas) {
-            if !figure.is_finite() || figure < 0.0 {
-                return bad(field, "must be finite and not negative");
+        for (field, value) in values.into_iter().chain(per_class).chain(quotas) {
+            if !value.is_finite() || value < 0.0 {
+                return invalid(field, "must be finite and not negative");
             }
         }
         if self.rules.close_idle_within.is_some_and(|time| time < self.host_tick * 2) {
-            return bad("rules.close_idle_within", "must be at least two steps of the host");
+            return invalid("rules.close_idle_within", "must be at least two host ticks");
         }
         if let Some(budget) = self.rules.retry_budget {
-            let figures = [
+            let values = [
                 ("rules.retry_budget.min_retries", budget.min_retries),
                 ("rules.retry_budget.ratio", budget.ratio),
             ];
-            for (field, figure) in figures {
-                if !figure.is_finite() || figure < 0.0 {
-                    return bad(field, "must be finite and not negative");
+            for (field, value) in values {
+                if !value.is_finite() || value < 0.0 {
+                    return invalid(field, "must be finite and not negative");
                 }
             }
             if budget.window.is_zero() {
-                return bad("rules.retry_budget.window", "must be positive");
+                return invalid("rules.retry_budget.window", "must be positive");
             }
         }
         if self.rules.cold_capacity > 1.0 {
-            return bad("rules.cold_capacity", "must be at most 1");
+            return invalid("rules.cold_capacity", "must be at most 1");
         }
         Ok(())
     }
 }
 
-/// Whether an endpoint takes requests.
+/// The state of an endpoint according to discovery.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It does.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// It completes its work and takes nothing new.
+    /// Finishes its requests and accepts no new ones.
     Draining,
-    /// It is removed.
+    /// No longer part of the service.
     Removed,
 }
 
-/// An entry of the list of endpoints.
+/// An entry of the endpoint list.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct EndpointEntry {
-    /// Which endpoint.
+    /// The endpoint's identifier.
     pub endpoint: EndpointId,
-    /// A hash of its name, the same at every balancer.
+    /// Hash of the endpoint's name, the same in every sidecar.
     pub key: u64,
-    /// Its cell.
+    /// The endpoint's cell.
     pub cell: CellId,
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: ZoneId,
-    /// When it last started; `None` is long ago.
+    /// Time of the endpoint's last start; `None` if that was long ago.
     pub started: Option<Time>,
-    /// Its state.
+    /// The endpoint's state.
     pub state: EndpointState,
-    /// Its weight, see [`WeightKind`].
+    /// The endpoint's weight, see [`WeightKind`].
     pub weight: f64,
 }
 
-/// What a list event holds.
+/// The contents of [`Event::EndpointList`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListScope {
     /// Changed entries only.
     Changes,
-    /// Every entry; what is absent is gone.
+    /// All entries; endpoints that are missing have been removed.
     Complete,
-    /// The complete list as last held before a restart, possibly stale.
+    /// The complete list as saved before a restart; possibly stale.
     Restored,
 }
 
-/// A load report: what an endpoint says of itself.
+/// An endpoint's report of its own load.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
-    /// Requests it holds.
+    /// Requests in flight.
     pub inflight: Option<f64>,
-    /// Requests that wait in it.
+    /// Requests waiting in its queue.
     pub queue: Option<f64>,
-    /// Fraction of its CPU in use.
+    /// Fraction of its CPU capacity in use.
     pub utilization: Option<f64>,
-    /// Its recent service time in seconds.
+    /// Recent service time in seconds.
     pub latency: Option<f64>,
-    /// Requests it serves a second.
+    /// Requests served per second.
     pub rate: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors: Option<f64>,
 }
 
-/// How an attempt or a probe ended.
+/// The outcome of an attempt or a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The endpoint served it.
     Ok,
-    /// The endpoint answered with an error; it may have run.
+    /// The endpoint responded with an error; the request may have run.
     Error,
-    /// Rejected unexamined; it never ran.
+    /// The endpoint rejected it unexamined; the request never ran.
     Rejected,
-    /// No answer in time; it may have run or may still run.
+    /// No response in time; the request may have run or may still run.
     Timeout,
-    /// No connection in time; it never ran.
+    /// No connection was established in time; the request never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Withdrawn; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The host did not send it; the request never ran.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this proves that the attempt never ran.
+    /// Returns true if this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// A timer's purpose, returned as given.
+/// The purpose of a timer, handed back unchanged by [`Event::Timer`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Timer {
-    /// Take a new snapshot.
+    /// Refresh the snapshot of the endpoints.
     Refresh,
     /// Subscribe to discovery again.
     Subscribe,
-    /// Look at a request that is still out.
+    /// Check a request that takes unusually long.
     SlowRequest(RequestId),
 }
 
-/// How far the list of endpoints can be relied on, counted from the event that tells it.
+/// How long the endpoint list can be relied on, counted from the event that carries this value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListValidity {
-    /// No endpoint that is listed as ready drains unheard for so long.
+    /// Time for which no endpoint that is listed as ready can drain without a notification.
     pub list_valid_for: Duration,
-    /// After that, one that took a request is ready for so long after the send.
+    /// After that, time from an accepted attempt for which its endpoint still counts as ready.
     pub accepted_valid_for: Duration,
 }
 
-/// What a balancer hears.
+/// An input to the balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// It has just started. Comes first, once.
+    /// The balancer has started. The first event, sent once.
     Start,
-    /// News of the list.
+    /// The endpoint list or changes to it.
     EndpointList {
-        /// What the entries are.
+        /// What `entries` contains.
         scope: ListScope,
         /// The entries.
         entries: Vec<EndpointEntry>,
     },
-    /// How far the list can be relied on from now on; none, and before any is told: without end.
+    /// How long the list can be relied on from now on; `None`, as before the first such event, means without
+    /// limit.
     ListValidity(Option<ListValidity>),
-    /// A discovery call failed or the subscription broke.
+    /// A call to discovery failed or the subscription broke.
     DiscoveryFailed,
-    /// A request has come; it is owed one final answer.
+    /// A client sent a request; it must get exactly one final response.
     Request {
-        /// Which.
+        /// The request.
         request: RequestId,
-        /// Its class.
+        /// The request's class.
         class: ClassId,
-        /// Its tenant, where there are any.
+        /// The request's tenant, if there are tenants.
         tenant: Option<TenantId>,
-        /// Time until its client gives up.
+        /// Time until the client's deadline.
         time_left: Duration,
-        /// Work it is expected to take.
+        /// Expected work of the request.
         work_hint: Option<Duration>,
-        /// Its client says that it is not its first try.
+        /// The client marked the request as a retry of its own.
         client_retry: bool,
     },
-    /// A streamed answer has started: it now belongs to the client.
+    /// A streamed response has started and goes to the client, so no other attempt can replace it.
     FirstByte {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// The attempt, counted from 0.
         attempt: u32,
     },
     /// An attempt has ended.
     Outcome {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which attempt, counted from 0.
+        /// The attempt, counted from 0.
         attempt: u32,
-        /// Where it went.
+        /// The endpoint of the attempt.
         endpoint: EndpointId,
-        /// The request is finished.
+        /// The request has got its final response.
         finished: bool,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the start.
         latency: Duration,
-        /// The endpoint's report, if one came along.
+        /// The endpoint's load report, if it sent one.
         report: Option<LoadReport>,
     },
-    /// New settings are in force. What was learned of endpoints stays.
+    /// New settings are in force. Endpoint statistics are kept.
     SettingsChanged {
-        /// All of them.
+        /// The new settings.
         settings: Box<Settings>,
-        /// For each class, the earlier one whose figures it continues.
+        /// For each class, the previous class whose statistics it takes over.
         previous_classes: Vec<Option<ClassId>>,
     },
-    /// The client has left; nothing is owed.
+    /// The client disconnected; the request needs no response.
     ClientDisconnected(RequestId),
-    /// A timer is due.
+    /// A timer has expired.
     Timer(Timer),
     /// A probe has ended.
     Probed {
-        /// Which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the start.
         latency: Duration,
-        /// The endpoint's report, if one came along.
+        /// The endpoint's load report, if it sent one.
         report: Option<LoadReport>,
     },
 }
 
-/// What a balancer does.
+/// An output of the balancer, carried out by the host.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Begin an attempt.
+    /// Start an attempt.
     Send {
-        /// Of which request.
+        /// The request.
         request: RequestId,
-        /// Where.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// It is given up after this time.
+        /// Time after which the attempt times out.
         timeout: Duration,
     },
-    /// Final answer: rejected, a further try is harmless.
+    /// Final response: rejected. A retry by the client is harmless.
     Reject {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Advice to stay away for so long.
+        /// Time that the client should wait before it retries.
         retry_after: Option<Duration>,
     },
-    /// Final answer: failed, with no promise.
+    /// Final response: failed. The request may have run.
     Fail(RequestId),
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// Of which request.
+        /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// The attempt, counted from 0.
         attempt: u32,
     },
-    /// Ask for an [`Event::Timer`].
+    /// Schedule an [`Event::Timer`].
     SetTimer {
-        /// When, from now.
+        /// Time from now.
         after: Duration,
-        /// What for.
+        /// The timer to hand back.
         timer: Timer,
     },
-    /// Ask an endpoint for its load.
+    /// Probe an endpoint for a load report.
     Probe(EndpointId),
-    /// Close the idle connections to an endpoint.
+    /// Close all idle connections to an endpoint.
     CloseIdle(EndpointId),
-    /// Subscribe to changes of the list.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
 }
 
 impl Settings {
-    /// Plain settings to start from: one tier, one zone, one safe class, reports with answers.
+    /// Minimal valid settings: one tier, one zone, one safe class, and load reports with responses.
     pub fn example() -> Settings {
         Settings {
             instances: 1,
--- a/crates/module/src/lib.rs
+++ b/crates/module/src/lib.rs
@@ -1,6 +1,7 @@
-//! The decisions of a load balancer for services that call services.
+//! The decision module of a client-side load balancer for service-to-service traffic.
 //!
-//! [`Balancer`] is sans-I/O: the host tells it events with the time, and carries out its actions.
+//! [`Balancer`] does no I/O: the host passes it events with their time and carries out the actions that it
+//! returns.
 //!
 //! ```
 //! use cometcroft::*;
@@ -20,7 +21,8 @@
 //!     state: EndpointState::Ready,
 //!     weight: 1.0,
 //! };
-//! balancer.handle(now, Event::EndpointList { scope: ListScope::Complete, entries: vec![entry] }, &mut actions);
+//! let list = Event::EndpointList { scope: ListScope::Complete, entries: vec![entry] };
+//! balancer.handle(now, list, &mut actions);
 //! actions.clear();
 //! let request = Event::Request {
 //!     request: RequestId(1),
--- a/crates/module/src/policy.rs
+++ b/crates/module/src/policy.rs
@@ -1,154 +1,163 @@
-//! Every decision of the balancer; its whole interface (settings, ids, events) is src/interface.rs.
+//! All decisions of the balancer; its interface (settings, ids, events, actions) is in src/interface.rs.
 //!
-//! The ordinary path is JSQ-RR: at each refresh the ready endpoints are sorted by last reported load
-//! ([`snapshot`]), and until the next refresh calls walk that list round robin ([`walk`]). A row's pace says
-//! in what share of the laps it is visited; health, size and coldness act through the pace alone.
+//! The algorithm combines join-shortest-queue with weighted round robin. At each refresh the eligible
+//! endpoints are sorted by their last reported load ([`snapshot`]); until the next refresh, requests go down
+//! that list in round-robin order ([`round_robin`]). The effective weight of an endpoint is the fraction of
+//! passes in which it gets a request; health, size and slow start act through this weight alone.
 //!
-//! | module | its job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`table`] | what is known of each endpoint, and the lists that change it |
-//! | [`subset`] | the part of the list that this balancer walks, and how often it leaves its own zone |
-//! | [`snapshot`] | the ranking of the rows and the pace of each |
-//! | [`walk`] | the row that a request goes to |
-//! | [`trust`] | which rows may be sent to while the list is not confirmed |
-//! | [`slow_start`] | what a cold endpoint may be sent |
-//! | [`request`] | the attempts of a request and its one final answer |
-//! | [`admission`] | what is refused at once |
-//! | [`hedging`] | what is done about a request that is out for unusually long |
-//! | [`retry_budget`] | how many attempts beyond the first are permitted |
-//! | [`health`] | what outcomes and reports tell of an endpoint |
-//! | [`probing`] | reports that are asked for |
-//! | [`rate`] | rates that fade with time |
+//! | [`table`] | state per endpoint, and endpoint lists that change it |
+//! | [`subset`] | the subset of endpoints that this sidecar uses, and the share of cross-zone requests |
+//! | [`snapshot`] | ranking and effective weights of the endpoints in rotation |
+//! | [`round_robin`] | the endpoint that an attempt goes to |
+//! | [`list_validity`] | endpoints that may be used while the endpoint list is not confirmed |
+//! | [`slow_start`] | load limit of endpoints that have just started |
+//! | [`request`] | the attempts of a request and its final response |
+//! | [`admission`] | requests that are rejected on arrival |
+//! | [`hedging`] | hedged attempts for requests that take unusually long |
+//! | [`retry_budget`] | limit on attempts after the first |
+//! | [`health`] | endpoint health and class latencies from outcomes and load reports |
+//! | [`probing`] | probes for load reports |
+//! | [`rate`] | exponentially decayed rates |
 
 mod admission;
 mod health;
 mod hedging;
+mod list_validity;
 mod probing;
 mod rate;
 mod request;
 mod retry_budget;
+mod round_robin;
 mod slow_start;
 mod snapshot;
 mod subset;
 mod table;
-mod trust;
-mod walk;
 
 use crate::interface::*;
+use list_validity::ListConfirmation;
 use rate::{Rate, secs};
-use request::{Request, Track};
+use request::{ClassLatency, Request};
 use retry_budget::RetryWindow;
-use slow_start::WarmCalls;
+use slow_start::WarmRequests;
 use std::collections::BTreeMap;
-use subset::ABROAD;
+use subset::CROSS_ZONE_SHARE;
 use table::{Endpoint, Table};
-use trust::ListTrust;
 
-/// The decisions of one balancer.
+/// The load-balancing policy of one sidecar.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
     rng: fastrand::Rng,
-    /// All that are listed, and for a while what is gone.
+    /// All listed endpoints, and removed ones for a while.
     table: Table,
-    /// The snapshot: places of ready endpoints, shortest reported load first.
-    rows: Vec<usize>,
+    /// Table indices of the endpoints in rotation, in round-robin order: lowest reported load first.
+    rotation: Vec<usize>,
+    /// Position of the round-robin pass in `rotation`.
     cursor: usize,
-    /// Own calls out to the rows. They are whole, so adding and taking away one by one is exact.
-    rows_out: f64,
-    /// The size of the rows, as far as they lie in this balancer's stretch.
-    rows_size: f64,
+    /// Own attempts in flight to the rotation. Always a whole number, so updating it by one is exact.
+    rotation_in_flight: f64,
+    /// Total size of the rotation; endpoints that are only partly in this sidecar's subset count in part.
+    rotation_size: f64,
     requests: BTreeMap<RequestId, Request>,
-    tracks: Vec<Track>,
-    tenants: Vec<Rate>,
-    /// Above so much silence an endpoint is passed over for a class.
-    usual_silent: Vec<f64>,
-    calls: Rate,
-    ends: Rate,
-    /// What the last answers took, as a multiple of what they take uncrowded.
-    recent: f64,
-    answered: Time,
-    /// The share of the last attempts that were turned away as full.
-    full: f64,
-    /// The share of the last calls that were refused for crowding.
-    refused: f64,
-    abroad: f64,
-    began: Time,
-    warm_calls: WarmCalls,
-    /// Connections idle for so long were found dead, and the share of those so idle that were.
+    /// Per class.
+    latencies: Vec<ClassLatency>,
+    /// Request rate per tenant.
+    tenant_rates: Vec<Rate>,
+    /// Per class: an endpoint whose `unresponsive` score exceeds this gets no requests of the class.
+    unresponsive_limits: Vec<f64>,
+    request_rate: Rate,
+    completion_rate: Rate,
+    /// Moving average of response times, as a multiple of their uncongested times.
+    slowdown: f64,
+    last_response: Time,
+    /// Fraction of recent attempts that endpoints rejected because of load.
+    rejected_share: f64,
+    /// Fraction of recent requests that admission rejected.
+    shed_share: f64,
+    /// Fraction of the passes in which endpoints of other zones are used.
+    cross_zone_share: f64,
+    started: Time,
+    warm_requests: WarmRequests,
+    /// Idle time in seconds after which connections turned out to be dead.
     dead_after: f64,
+    /// Fraction of the connections idle for about that long that were dead.
     dead_share: f64,
     retries: RetryWindow,
     probe_budget: f64,
-    refreshed: Time,
-    refused_lists: u32,
-    trust: ListTrust,
-    memory: f64,
+    last_refresh: Time,
+    /// Failed discovery calls since the last endpoint list.
+    discovery_failures: u32,
+    list_confirmation: ListConfirmation,
+    /// Time constant in seconds with which statistics decay.
+    time_constant: f64,
     actions: Vec<Action>,
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet; its first event is [`Event::Start`].
+    /// Creates a balancer without endpoints; its first event must be [`Event::Start`].
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
         settings.validate()?;
         let longest = settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
-        let memory = longest.max(settings.rules.ramp);
-        let mean_aim = settings.classes.iter().map(|c| c.target_latency.as_secs_f64()).sum::<f64>()
+        let time_constant = longest.max(settings.rules.ramp);
+        let mean_target = settings.classes.iter().map(|c| c.target_latency.as_secs_f64()).sum::<f64>()
             / settings.classes.len() as f64;
-        let rate = Rate::new(secs(2.0 * mean_aim), Time::ZERO);
+        let rate = Rate::new(secs(2.0 * mean_target), Time::ZERO);
         Ok(Balancer {
             rng: fastrand::Rng::with_seed(seed),
             table: Table::default(),
-            rows: Vec::new(),
+            rotation: Vec::new(),
             cursor: 0,
-            rows_out: 0.0,
-            rows_size: 0.0,
+            rotation_in_flight: 0.0,
+            rotation_size: 0.0,
             requests: BTreeMap::new(),
-            tracks: settings.classes.iter().map(Track::new).collect(),
-            tenants: vec![Rate::new(memory, Time::ZERO); settings.tenants.len()],
-            usual_silent: vec![0.9; settings.classes.len()],
-            calls: rate,
-            ends: rate,
-            recent: 1.0,
-            answered: Time::ZERO,
-            full: 0.0,
-            refused: 0.0,
-            abroad: ABROAD[2],
-            began: Time::ZERO,
-            warm_calls: WarmCalls::new(memory),
+            latencies: settings.classes.iter().map(ClassLatency::new).collect(),
+            tenant_rates: vec![Rate::new(time_constant, Time::ZERO); settings.tenants.len()],
+            unresponsive_limits: vec![0.9; settings.classes.len()],
+            request_rate: rate,
+            completion_rate: rate,
+            slowdown: 1.0,
+            last_response: Time::ZERO,
+            rejected_share: 0.0,
+            shed_share: 0.0,
+            cross_zone_share: CROSS_ZONE_SHARE[2],
+            started: Time::ZERO,
+            warm_requests: WarmRequests::new(time_constant),
             dead_after: f64::INFINITY,
             dead_share: 0.0,
-            retries: RetryWindow::new(&settings, memory),
+            retries: RetryWindow::new(&settings, time_constant),
             probe_budget: 0.0,
-            refreshed: Time::ZERO,
-            refused_lists: 0,
-            trust: ListTrust::default(),
+            last_refresh: Time::ZERO,
+            discovery_failures: 0,
+            list_confirmation: ListConfirmation::default(),
             actions: Vec::new(),
-            // Danger: a quiet caller that forgets within a few calls never finds out who is slow.
-            memory: memory.as_secs_f64(),
+            // A sidecar with little traffic that forgot within a few requests would never find out which
+            // endpoints are slow.
+            time_constant: time_constant.as_secs_f64(),
             settings,
         })
     }
 
-    /// Takes an event that happens at `now` and adds what is to be done to `actions`.
+    /// Handles an event that happens at `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.actions = std::mem::take(actions);
-        self.take(now, event);
+        self.handle_event(now, event);
         *actions = std::mem::take(&mut self.actions);
     }
 
-    fn take(&mut self, now: Time, event: Event) {
+    fn handle_event(&mut self, now: Time, event: Event) {
         match event {
             Event::Start => self.start(now),
-            Event::EndpointList { scope, entries } => self.members(now, scope, &entries),
+            Event::EndpointList { scope, entries } => self.update_endpoints(now, scope, &entries),
             Event::SettingsChanged { settings, previous_classes } => {
-                self.retune(*settings, &previous_classes)
+                self.change_settings(*settings, &previous_classes)
             }
-            Event::ListValidity(trust) => self.trust.told(now, trust),
-            Event::DiscoveryFailed => self.discovery_refused(),
+            Event::ListValidity(validity) => self.list_confirmation.set(now, validity),
+            Event::DiscoveryFailed => self.discovery_failed(),
             Event::Request { request: id, class, tenant, time_left, work_hint, client_retry } => {
                 let request = self.new_request(now, class, time_left, client_retry);
-                self.request(now, id, request, tenant, work_hint);
+                self.admit(now, id, request, tenant, work_hint);
             }
             Event::FirstByte { request, .. } => {
                 if let Some(request) = self.requests.get_mut(&request) {
@@ -156,13 +165,13 @@
                 }
             }
             Event::Outcome { request, attempt, endpoint, finished, outcome, latency, report } => {
-                self.report(now, endpoint, report);
-                self.judge(now, request, endpoint, outcome, latency);
-                self.note_accepted(now, endpoint, outcome, latency);
-                self.let_go(endpoint);
-                self.outcome(now, request, attempt, finished, outcome);
+                self.record_load(now, endpoint, report);
+                self.record_outcome(now, request, endpoint, outcome, latency);
+                self.record_acceptance(now, endpoint, outcome, latency);
+                self.close_idle_unless_ready(endpoint);
+                self.attempt_ended(now, request, attempt, finished, outcome);
             }
-            Event::ClientDisconnected(id) => self.withdrawn(now, id),
+            Event::ClientDisconnected(id) => self.client_disconnected(now, id),
             Event::Timer(Timer::Refresh) => self.refresh(now),
             Event::Timer(Timer::Subscribe) => self.actions.push(Action::Subscribe),
             Event::Timer(Timer::SlowRequest(id)) => self.hedge(now, id),
@@ -173,55 +182,68 @@
     }
 
     fn start(&mut self, now: Time) {
-        for rate in self.tenants.iter_mut().chain([&mut self.calls, &mut self.ends]) {
+        for rate in self.tenant_rates.iter_mut().chain([&mut self.request_rate, &mut self.completion_rate]) {
             rate.since = now;
-            rate.at = now;
+            rate.updated = now;
         }
-        self.warm_calls.start(now);
-        self.refreshed = now;
-        self.began = now;
+        self.warm_requests.start(now);
+        self.last_refresh = now;
+        self.started = now;
         if self.settings.discovery == Discovery::Subscribe {
             self.actions.push(Action::Subscribe);
         }
         self.actions.push(Action::SetTimer { after: self.settings.host_tick, timer: Timer::Refresh });
     }
 
-    fn discovery_refused(&mut self) {
-        // Danger: all balancers ask again at once and fail again, so the wait grows and is spread.
-        // Danger: on sockets news counts as told after 6 s where a call may be made within 10.
-        let most = self.settings.rules.resubscribe_within.as_secs_f64().min(30.0) / 4.0;
-        let wait = (0.2 * most * 2f64.powi(self.refused_lists.min(10) as i32)).min(most);
-        self.refused_lists += 1;
+    fn discovery_failed(&mut self) {
+        // Exponential backoff with jitter: otherwise all sidecars would call again at once and fail again.
+        // The wait is limited because, over sockets, a list change counts as delivered after 6 s where a call
+        // may be made within 10 s.
+        let max_wait = self.settings.rules.resubscribe_within.as_secs_f64().min(30.0) / 4.0;
+        let wait = (0.2 * max_wait * 2f64.powi(self.discovery_failures.min(10) as i32)).min(max_wait);
+        self.discovery_failures += 1;
         let after = secs(wait * (0.5 + self.rng.f64()));
         self.actions.push(Action::SetTimer { after, timer: Timer::Subscribe });
     }
 
-    /// How many endpoints it keeps account of.
+    /// Number of endpoints in the table.
     pub fn endpoint_count(&self) -> usize {
         self.table.ids.len()
     }
 
-    /// New settings. Danger: one that forgot what it learned would herd and refuse as if just begun.
-    fn retune(&mut self, settings: Settings, from: &[Option<ClassId>]) {
-        let old = |class: usize| from.get(class).copied().flatten().map(|id| id.0);
-        let track = |(at, c)| old(at).and_then(|o| self.tracks.get(o)).copied().unwrap_or(Track::new(c));
-        self.tracks = settings.classes.iter().enumerate().map(track).collect();
-        let follow = |f: &[f64], new: f64| -> Vec<f64> {
-            let of = |at| old(at).and_then(|o| f.get(o)).copied().unwrap_or(new);
+    /// Applies new settings and keeps all statistics: without them, the sidecar would send to the same few
+    /// endpoints as others do and reject requests, as right after a start.
+    fn change_settings(&mut self, settings: Settings, previous_classes: &[Option<ClassId>]) {
+        let previous = |class: usize| previous_classes.get(class).copied().flatten().map(|id| id.0);
+        let latency = |(class, c)| {
+            previous(class).and_then(|p| self.latencies.get(p)).copied().unwrap_or(ClassLatency::new(c))
+        };
+        self.latencies = settings.classes.iter().enumerate().map(latency).collect();
+        let carry_over = |values: &[f64], new: f64| -> Vec<f64> {
+            let of = |class| previous(class).and_then(|p| values.get(p)).copied().unwrap_or(new);
             (0..settings.classes.len()).map(of).collect()
         };
-        self.usual_silent = follow(&self.usual_silent, 0.9);
-        self.table.endpoints.iter_mut().for_each(|up| up.silent = follow(&up.silent, 0.0));
-        self.tenants.resize(settings.tenants.len(), Rate::new(secs(self.memory), self.began));
-        self.retries.retune(&settings, secs(self.memory));
+        self.unresponsive_limits = carry_over(&self.unresponsive_limits, 0.9);
+        self.table
+            .endpoints
+            .iter_mut()
+            .for_each(|endpoint| endpoint.unresponsive = carry_over(&endpoint.unresponsive, 0.0));
+        self.tenant_rates.resize(settings.tenants.len(), Rate::new(secs(self.time_constant), self.started));
+        self.retries.change_settings(&settings, secs(self.time_constant));
         self.settings = settings;
-        self.rows_size = self.size_of_rows();
+        self.rotation_size = self.size_of_rotation();
     }
 
-    /// How many listed endpoints are passed over now: they drain, can't be reached, or fail or are slow.
+    /// Number of listed endpoints that are avoided now: draining, unreachable, failing or slow.
     pub fn avoided_count(&self, now: Time) -> usize {
-        let alone = self.settings.rules.use_removed_endpoints;
-        let out = |up: &Endpoint| up.probation || up.unreachable(now) || !up.may_be_sent_to(alone);
-        self.table.endpoints.iter().filter(|up| up.member.state != EndpointState::Removed && out(up)).count()
+        let use_removed = self.settings.rules.use_removed_endpoints;
+        let avoided = |endpoint: &Endpoint| {
+            endpoint.probation || endpoint.unreachable(now) || !endpoint.is_eligible(use_removed)
+        };
+        self.table
+            .endpoints
+            .iter()
+            .filter(|endpoint| endpoint.entry.state != EndpointState::Removed && avoided(endpoint))
+            .count()
     }
 }
--- a/crates/module/src/policy/probing.rs
+++ b/crates/module/src/policy/probing.rs
@@ -1,35 +1,37 @@
-//! Probing: load reports that are asked for, within a budget.
+//! Probing: requests load reports from endpoints, within a budget.
 
 use super::Balancer;
 use crate::interface::*;
 
-/// Share of the result that probes may cost: half of what second copies may, as reports are renewed seldom.
-const SPEND_PROBES: f64 = 0.002;
+/// Fraction of the total value that probes may cost: half of what hedged attempts may, as reports are renewed
+/// rarely.
+const PROBE_SPEND: f64 = 0.002;
 
 impl Balancer {
-    /// Probes the endpoints heard from longest ago, within a budget from own calls and the price.
+    /// Probes the endpoints whose last probe is the oldest, within a budget that grows with the sidecar's own
+    /// requests and shrinks with the price of a probe.
     pub(super) fn probe(&mut self, now: Time) {
         if !self.settings.limits.probes || self.settings.reports != ReportSource::Probes {
             return;
         }
-        let price = self.settings.prices.probe.max(SPEND_PROBES);
-        let share = (SPEND_PROBES / price).min(0.5);
-        let since = now.saturating_sub(self.refreshed).as_secs_f64();
-        let earned = self.calls.get(now) * share * since;
-        self.probe_budget = (self.probe_budget + earned).min(self.rows.len() as f64);
+        let price = self.settings.prices.probe.max(PROBE_SPEND);
+        let share = (PROBE_SPEND / price).min(0.5);
+        let elapsed = now.saturating_sub(self.last_refresh).as_secs_f64();
+        let earned = self.request_rate.per_second(now) * share * elapsed;
+        self.probe_budget = (self.probe_budget + earned).min(self.rotation.len() as f64);
         if self.probe_budget < 1.0 {
             return;
         }
         let mut due: Vec<(Option<Time>, EndpointId)> = self
-            .rows
+            .rotation
             .iter()
-            .map(|&place| (self.table.endpoints[place].probed, self.table.ids[place]))
+            .map(|&index| (self.table.endpoints[index].last_probe, self.table.ids[index]))
             .collect();
         due.sort_by_key(|d| d.0);
         for (_, id) in due.into_iter().take(self.probe_budget as usize) {
             self.probe_budget -= 1.0;
-            if let Some(up) = self.endpoint_mut(id) {
-                up.probed = Some(now);
+            if let Some(endpoint) = self.endpoint_mut(id) {
+                endpoint.last_probe = Some(now);
             }
             self.actions.push(Action::Probe(id));
         }
--- a/crates/module/src/policy/rate.rs
+++ b/crates/module/src/policy/rate.rs
@@ -1,64 +1,67 @@
-//! Rates and sums that fade with time.
+//! Exponentially decayed rates and sums.
 
 use crate::interface::Time;
 use std::time::Duration;
 
-/// Events a second, forgotten exponentially.
+/// Events per second, as an exponentially decayed average.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Rate {
-    pub(super) memory: f64,
+    /// Time constant of the decay, in seconds.
+    pub(super) time_constant: f64,
+    /// Start of the observation.
     pub(super) since: Time,
-    pub(super) at: Time,
+    /// Time up to which `value` has decayed.
+    pub(super) updated: Time,
     pub(super) value: f64,
 }
 
 impl Rate {
-    /// No events yet, as of `now`.
-    pub(super) fn new(memory: Duration, now: Time) -> Rate {
-        Rate { memory: memory.as_secs_f64(), since: now, at: now, value: 0.0 }
+    /// A rate without events, observed from `now`.
+    pub(super) fn new(time_constant: Duration, now: Time) -> Rate {
+        Rate { time_constant: time_constant.as_secs_f64(), since: now, updated: now, value: 0.0 }
     }
 
     /// Counts an event.
     pub(super) fn add(&mut self, now: Time) {
-        self.add_part(now, 1.0);
+        self.add_weighted(now, 1.0);
     }
 
-    /// Counts what stands for a part of an event.
-    pub(super) fn add_part(&mut self, now: Time, part: f64) {
+    /// Counts an event with this weight.
+    pub(super) fn add_weighted(&mut self, now: Time, weight: f64) {
         if self.value == 0.0 {
             self.since = now;
         }
-        self.value = self.value * fade(self.at, now, self.memory) + part / self.memory;
-        self.at = now;
+        self.value = self.value * decay(self.updated, now, self.time_constant) + weight / self.time_constant;
+        self.updated = now;
     }
 
-    /// The events that are not forgotten yet, each by what is left of it.
+    /// Decayed number of events.
     pub(super) fn count(&self, now: Time) -> f64 {
-        self.value * fade(self.at, now, self.memory) * self.memory
+        self.value * decay(self.updated, now, self.time_constant) * self.time_constant
     }
 
-    /// Events a second, also while less than the memory has been seen.
-    pub(super) fn get(&self, now: Time) -> f64 {
-        self.value * fade(self.at, now, self.memory) / self.seen(now)
+    /// Events per second, corrected for an observation shorter than the time constant.
+    pub(super) fn per_second(&self, now: Time) -> f64 {
+        self.value * decay(self.updated, now, self.time_constant) / self.coverage(now)
     }
 
-    /// The part of its memory that it has seen.
-    pub(super) fn seen(&self, now: Time) -> f64 {
-        (1.0 - fade(self.since, now, self.memory)).max(0.01)
+    /// Fraction of the decay window that has been observed.
+    pub(super) fn coverage(&self, now: Time) -> f64 {
+        (1.0 - decay(self.since, now, self.time_constant)).max(0.01)
     }
 
-    /// What the rate adds up to over a time in which nothing came.
-    pub(super) fn sum(&self, from: Time, to: Time) -> f64 {
-        self.count(from) * (1.0 - fade(from, to, self.memory)) / self.seen(to)
+    /// Integral of the rate over an interval without events.
+    pub(super) fn integrate(&self, from: Time, to: Time) -> f64 {
+        self.count(from) * (1.0 - decay(from, to, self.time_constant)) / self.coverage(to)
     }
 }
 
-/// What is left of a figure after this time, where its memory is so many seconds.
-pub(super) fn fade(then: Time, now: Time, memory: f64) -> f64 {
-    (-now.saturating_sub(then).as_secs_f64() / memory).exp()
+/// Factor by which a value decays between two times; `time_constant` is in seconds.
+pub(super) fn decay(from: Time, to: Time, time_constant: f64) -> f64 {
+    (-to.saturating_sub(from).as_secs_f64() / time_constant).exp()
 }
 
-/// A time of so many seconds, however odd the figure.
+/// Converts seconds to a duration; out-of-range values are clamped.
 pub(super) fn secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.0, 4000.0))
 }
--- a/crates/module/src/policy/slow_start.rs
+++ b/crates/module/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: what a cold endpoint, one that has just started, may be sent.
+//! Slow start: limits the load of cold endpoints, which have just started.
 
 use super::Balancer;
 use super::rate::Rate;
@@ -6,80 +6,82 @@
 use crate::interface::*;
 use std::time::Duration;
 
-/// What warm endpoints are sent is known once so much of its memory has been seen.
-const LEARNED: f64 = 0.2;
+/// The rate of requests to warm endpoints is known once this fraction of its decay window has been observed.
+const MIN_COVERAGE: f64 = 0.2;
 
-/// What a warm endpoint of size 1 is sent by this balancer, by which the allowance of cold ones goes.
+/// Requests that this sidecar sends to a warm endpoint of size 1. The limit of cold endpoints is derived from
+/// it.
 ///
-/// Danger: a rate that follows a surge at once lets a cold endpoint have the multiple of the surge; one that
-/// goes by the warm endpoints of the moment grows as they get fewer; and one that is read from time to time
-/// makes nothing of calls that are seldom. So the rate has a long memory, each call counts by what was warm
-/// when it came, and the sum has no gaps.
+/// A rate that follows a surge at once would allow cold endpoints a multiple of the surge; a rate over the
+/// endpoints that are warm at the moment would grow as they get fewer; and a rate that is sampled from time
+/// to time would miss rare requests. So the rate has a long time constant, each request counts by the
+/// endpoints that were warm when it arrived, and the sum has no gaps.
 #[derive(Debug)]
-pub(super) struct WarmCalls {
+pub(super) struct WarmRequests {
     rate: Rate,
-    /// The size that the calls of the moment are shared by; 0 until some is known.
+    /// Total size of the endpoints that share the requests now; 0 until it is known.
     shared_by: f64,
-    /// While no endpoint is warm, the rate from when one was.
+    /// While no endpoint is warm: the last rate while one was.
     held: Option<f64>,
-    /// What the rate has added up to so far.
+    /// Integral of the rate.
     total: f64,
-    /// The time up to which `total` counts.
-    at: Time,
+    /// Time up to which `total` counts.
+    updated: Time,
 }
 
-impl WarmCalls {
-    /// Nothing counted yet; the rate remembers for so long.
-    pub(super) fn new(memory: Duration) -> WarmCalls {
-        let rate = Rate::new(memory, Time::ZERO);
-        WarmCalls { rate, shared_by: 0.0, held: None, total: 0.0, at: Time::ZERO }
+impl WarmRequests {
+    /// A rate of zero with this time constant.
+    pub(super) fn new(time_constant: Duration) -> WarmRequests {
+        let rate = Rate::new(time_constant, Time::ZERO);
+        WarmRequests { rate, shared_by: 0.0, held: None, total: 0.0, updated: Time::ZERO }
     }
 
-    /// Counts from now on.
+    /// Starts the observation.
     pub(super) fn start(&mut self, now: Time) {
-        (self.rate.since, self.rate.at, self.at) = (now, now, now);
+        (self.rate.since, self.rate.updated, self.updated) = (now, now, now);
     }
 
-    /// Calls a second.
+    /// Requests per second.
     fn rate(&self, now: Time) -> f64 {
-        self.held.unwrap_or_else(|| self.rate.get(now))
+        self.held.unwrap_or_else(|| self.rate.per_second(now))
     }
 
-    /// Sums up to `now`; returns the total.
-    pub(super) fn sum(&mut self, now: Time) -> f64 {
-        if now > self.at {
+    /// Integrates up to `now` and returns the total.
+    pub(super) fn integrate(&mut self, now: Time) -> f64 {
+        if now > self.updated {
             self.total += match self.held {
-                Some(rate) => rate * now.saturating_sub(self.at).as_secs_f64(),
-                None => self.rate.sum(self.at, now),
+                Some(rate) => rate * now.saturating_sub(self.updated).as_secs_f64(),
+                None => self.rate.integrate(self.updated, now),
             };
-            self.at = now;
+            self.updated = now;
         }
         self.total
     }
 
-    /// A call has come.
+    /// Counts a request.
     pub(super) fn add(&mut self, now: Time) {
-        self.sum(now);
+        self.integrate(now);
         if self.shared_by > 0.0 && self.held.is_none() {
-            self.rate.add_part(now, 1.0 / self.shared_by);
+            self.rate.add_weighted(now, 1.0 / self.shared_by);
         }
     }
 
-    /// Calls are shared by endpoints of `warm` in all from now on; where none is warm, as if all of `all`
-    /// were.
-    pub(super) fn share(&mut self, now: Time, warm: Option<f64>, all: f64) {
-        self.sum(now);
+    /// Sets the total size of the endpoints that share the requests from now on: `warm`, or `all` if no
+    /// endpoint is warm.
+    pub(super) fn set_shared_by(&mut self, now: Time, warm: Option<f64>, all: f64) {
+        self.integrate(now);
         match (warm, self.held) {
             (Some(warm), held) => {
                 if let Some(rate) = held {
-                    (self.rate.value, self.rate.at) = (rate * self.rate.seen(now), now);
+                    (self.rate.value, self.rate.updated) = (rate * self.rate.coverage(now), now);
                 }
                 (self.shared_by, self.held) = (warm, None);
             }
-            (None, None) if self.rate.value > 0.0 && self.rate.seen(now) >= LEARNED => {
+            (None, None) if self.rate.value > 0.0 && self.rate.coverage(now) >= MIN_COVERAGE => {
                 self.held = Some(self.rate(now));
             }
-            // Danger: one that starts when all are cold would refuse everything; the fleet is taken to fit.
+            // A sidecar that starts while all endpoints are cold assumes that their number fits the load;
+            // otherwise it would reject everything.
             (None, None) => self.shared_by = all,
             (None, Some(_)) => {}
         }
@@ -87,36 +89,39 @@
 }
 
 impl Balancer {
-    /// The fraction of its capacity that an endpoint has at least.
-    pub(super) fn warmth(&self, up: &Endpoint, now: Time) -> f64 {
-        self.warmth_of(&up.member, now)
+    /// Warmth of an endpoint: the fraction of its capacity that it has at least.
+    pub(super) fn warmth(&self, endpoint: &Endpoint, now: Time) -> f64 {
+        self.warmth_of(&endpoint.entry, now)
     }
 
-    /// The same of an entry of the list.
-    pub(super) fn warmth_of(&self, member: &EndpointEntry, now: Time) -> f64 {
-        let Some(started) = member.started else { return 1.0 };
+    /// Warmth of the endpoint of a list entry.
+    pub(super) fn warmth_of(&self, entry: &EndpointEntry, now: Time) -> f64 {
+        let Some(started) = entry.started else { return 1.0 };
         let rules = &self.settings.rules;
         let age = now.saturating_sub(started).as_secs_f64() / rules.ramp.as_secs_f64().max(1e-9);
         (rules.cold_capacity + (1.0 - rules.cold_capacity) * age).clamp(0.05, 1.0)
     }
 
-    /// Rule 4: a cold endpoint may be sent half the rule's multiple of a warm one's, times its warmth.
-    /// Danger: with few others to take the work, the walk alone would push it over.
-    pub(super) fn cold_allows(&mut self, now: Time, place: usize) -> bool {
-        let up = &self.table.endpoints[place];
-        let warmth = self.warmth(up, now);
+    /// Returns true if slow start permits another request to an endpoint. A cold one may get the load of a
+    /// warm one, times its warmth and half the overload factor. With few other endpoints to take the load,
+    /// round robin alone would overload it.
+    pub(super) fn slow_start_allows(&mut self, now: Time, index: usize) -> bool {
+        let endpoint = &self.table.endpoints[index];
+        let warmth = self.warmth(endpoint, now);
         if warmth >= 1.0 {
             return true;
         }
-        // Half of what makes it fall: two thirds and chance do. Danger: less leaves all to the few warm ones.
-        let multiple = (self.settings.rules.overload_factor / 2.0).max(1.0);
-        let share = self.size(up) * warmth * multiple * up.cold_part;
-        let rate = self.warm_calls.rate(now) * share;
-        let most = (rate * self.settings.rules.overload_after.as_secs_f64() / 4.0).max(1.0);
-        let total = self.warm_calls.sum(now);
-        let up = &mut self.table.endpoints[place];
-        up.cold_left = (up.cold_left + (total - up.cold_at) * share).min(most);
-        up.cold_at = total;
-        up.cold_left >= 1.0
+        // Half the overload factor: two thirds of it plus chance overload an endpoint. With less than half,
+        // the few warm endpoints would get all the load.
+        let factor = (self.settings.rules.overload_factor / 2.0).max(1.0);
+        let share = self.size(endpoint) * warmth * factor * endpoint.slow_start_share;
+        let rate = self.warm_requests.rate(now) * share;
+        let max_credit = (rate * self.settings.rules.overload_after.as_secs_f64() / 4.0).max(1.0);
+        let total = self.warm_requests.integrate(now);
+        let endpoint = &mut self.table.endpoints[index];
+        endpoint.slow_start_credit =
+            (endpoint.slow_start_credit + (total - endpoint.slow_start_total) * share).min(max_credit);
+        endpoint.slow_start_total = total;
+        endpoint.slow_start_credit >= 1.0
     }
 }
--- a/crates/module/src/policy/snapshot.rs
+++ b/crates/module/src/policy/snapshot.rs
@@ -1,211 +1,227 @@
-//! The snapshot: at each refresh the ready endpoints are sorted by reported load, and each gets its pace.
+//! The snapshot: each refresh sorts the endpoints by reported load and sets their effective weights.
 
 use super::Balancer;
-use super::rate::{fade, secs};
+use super::rate::{decay, secs};
 use crate::interface::*;
 
-/// A row whose health leaves it less than this share of its pace is on probation: repeatable calls only.
+/// An endpoint whose health leaves it less than this fraction of its weight is on probation: it gets only
+/// requests that can be retried.
 const PROBATION: f64 = 0.3;
-/// The least pace of a row: the trickle by which an ejected endpoint shows that it has recovered.
-const TRICKLE: f64 = 0.02;
-/// Prior weight, in attempts, of what all endpoints do when one endpoint is judged.
-const PRIOR: f64 = 3.0;
+/// Minimum health factor: the few requests by which an ejected endpoint shows that it has recovered.
+const MIN_HEALTH: f64 = 0.02;
+/// Number of attempts that the prior (what is usual among all endpoints) counts for in an endpoint's health.
+const PRIOR_ATTEMPTS: f64 = 3.0;
 
-/// What a snapshot goes by of one row.
+/// The data of one endpoint in the rotation that a snapshot uses.
 #[derive(Debug)]
-struct Row {
-    place: usize,
+struct Candidate {
+    index: usize,
     size: f64,
     warmth: f64,
-    home: bool,
+    same_zone: bool,
     load: Option<(f64, Time)>,
-    ended: f64,
-    failed: f64,
-    slow: f64,
-    part: f64,
-    cold_part: f64,
+    attempts: f64,
+    failures: f64,
+    latency_ratios: f64,
+    subset_share: f64,
+    slow_start_share: f64,
 }
 
-impl Row {
-    /// The share of its attempts that failed; `usual` and so many attempts stand for what is not known.
-    fn failed(&self, usual: f64) -> f64 {
-        (self.failed + PRIOR * usual) / (self.ended + PRIOR)
+impl Candidate {
+    /// Fraction of its attempts that failed, shrunk towards the prior.
+    fn failure_rate(&self, prior: f64) -> f64 {
+        (self.failures + PRIOR_ATTEMPTS * prior) / (self.attempts + PRIOR_ATTEMPTS)
     }
 
-    /// Its latency over what is expected.
-    fn slow(&self, usual: f64) -> f64 {
-        (self.slow + PRIOR * usual) / (self.ended + PRIOR)
+    /// Mean ratio of actual to expected latency, shrunk towards the prior.
+    fn latency_ratio(&self, prior: f64) -> f64 {
+        (self.latency_ratios + PRIOR_ATTEMPTS * prior) / (self.attempts + PRIOR_ATTEMPTS)
     }
 }
 
-/// What is usual among the rows.
+/// What is usual among the endpoints in the rotation.
 #[derive(Debug)]
-struct Usual {
-    /// Load a size.
+struct Baseline {
+    /// Load per size.
     load: f64,
-    /// What load differs by through chance.
-    spread: f64,
-    /// Load a size that comes within a report's life.
+    /// Difference in load that chance explains.
+    noise: f64,
+    /// Load per size that arrives while a report is current.
     arrivals: f64,
-    slow: f64,
-    failed: f64,
-    /// The share of the laps on which rows of other zones are visited.
-    abroad: f64,
+    latency_ratio: f64,
+    failure_rate: f64,
+    /// Fraction of the passes in which endpoints of other zones are used.
+    cross_zone_share: f64,
 }
 
-/// The figure that one in `part` of all lie below; 2 gives the middle one.
-fn lowest(part: usize, mut figures: Vec<f64>) -> f64 {
-    let at = (figures.len() - 1) / part;
-    *figures.select_nth_unstable_by(at, f64::total_cmp).1
+/// The lower `parts`-quantile: about one in `parts` of the values lies below it; 2 gives the median.
+fn quantile(parts: usize, mut values: Vec<f64>) -> f64 {
+    let at = (values.len() - 1) / parts;
+    *values.select_nth_unstable_by(at, f64::total_cmp).1
 }
 
-/// The pace of a row, and whether it is on probation.
-fn pace(row: &Row, load: f64, usual: &Usual) -> (f64, bool) {
-    // Rows above the level skip laps, by as much as evens the load out within a report's life.
-    let lean = (1.0 + (usual.load - load) / usual.arrivals).clamp(0.1, 1.5);
-    // Danger: an endpoint that errors at once keeps a short queue and stays high in the list.
-    let failed = row.failed(usual.failed) - 2.0 * usual.failed - 0.02;
-    let sound = 1.0 / (1.0 + (failed.max(0.0) / 0.1).powi(2));
-    // Danger: answers differ by chance; what is not clearly slow is left to reports. What is slow gets so
-    // little that it recovers if crowding was the cause.
-    let speed = (1.5 / (row.slow(usual.slow) / usual.slow)).min(1.0).powi(3);
-    let home = if row.home { 1.0 } else { usual.abroad };
-    let pace = row.size * (lean * sound * speed).max(TRICKLE) * row.warmth * home * row.part;
-    (pace, sound * speed < PROBATION)
+/// The effective weight of an endpoint, and whether it is on probation.
+fn effective_weight(candidate: &Candidate, load: f64, baseline: &Baseline) -> (f64, bool) {
+    // Endpoints with a load above the mean skip passes, so many that loads level out while a report is
+    // current.
+    let leveling = (1.0 + (baseline.load - load) / baseline.arrivals).clamp(0.1, 1.5);
+    // An endpoint that fails fast keeps a short queue and would stay at the head of the list.
+    let excess = candidate.failure_rate(baseline.failure_rate) - 2.0 * baseline.failure_rate - 0.02;
+    let reliability = 1.0 / (1.0 + (excess.max(0.0) / 0.1).powi(2));
+    // Latencies vary by chance; what is not clearly slow is left to load reports. Slow endpoints get so
+    // little that they recover if overload was the cause.
+    let speed =
+        (1.5 / (candidate.latency_ratio(baseline.latency_ratio) / baseline.latency_ratio)).min(1.0).powi(3);
+    let zone = if candidate.same_zone { 1.0 } else { baseline.cross_zone_share };
+    let weight = candidate.size
+        * (leveling * reliability * speed).max(MIN_HEALTH)
+        * candidate.warmth
+        * zone
+        * candidate.subset_share;
+    (weight, reliability * speed < PROBATION)
 }
 
 impl Balancer {
-    /// Takes a new snapshot, and asks for the next one.
+    /// Takes a new snapshot and schedules the next one.
     pub(super) fn refresh(&mut self, now: Time) {
-        self.snapshot(now);
+        self.take_snapshot(now);
         self.probe(now);
-        // One lap a snapshot, spread: quiet balancers that began anew at row one would all herd there.
-        let lap = self.rows.len().max(1) as f64 / self.calls.get(now).max(1.0);
-        let least = self.settings.host_tick.as_secs_f64() * 4.0;
-        let after = lap.clamp(least, (self.settings.rules.ramp.as_secs_f64() / 8.0).max(least));
+        // One refresh per pass, with jitter: sidecars with little traffic that all began anew at the head of
+        // the list would send all their requests there.
+        let pass = self.rotation.len().max(1) as f64 / self.request_rate.per_second(now).max(1.0);
+        let min = self.settings.host_tick.as_secs_f64() * 4.0;
+        let after = pass.clamp(min, (self.settings.rules.ramp.as_secs_f64() / 8.0).max(min));
         let after = secs(after * (0.8 + 0.4 * self.rng.f64()));
         self.actions.push(Action::SetTimer { after, timer: Timer::Refresh });
-        self.refreshed = now;
+        self.last_refresh = now;
     }
 
-    /// Ranks the rows anew, after a change of the list or as its time has come.
-    pub(super) fn snapshot(&mut self, now: Time) {
-        self.forget(now);
-        self.cover(now);
+    /// Selects and ranks the endpoints anew, after a change of the list or at a refresh.
+    pub(super) fn take_snapshot(&mut self, now: Time) {
+        self.decay_table(now);
+        self.select_subset(now);
         self.cursor = 0;
-        self.rows_out = self.rows.iter().map(|&place| self.table.endpoints[place].out).sum();
-        if self.rows.is_empty() {
-            self.rows_size = 0.0;
+        self.rotation_in_flight =
+            self.rotation.iter().map(|&index| self.table.endpoints[index].in_flight).sum();
+        if self.rotation.is_empty() {
+            self.rotation_size = 0.0;
             return;
         }
-        let abroad = self.lean_home(now);
-        let rows: Vec<Row> = self.rows.iter().map(|&place| self.row(now, place)).collect();
-        let usual = self.usual(now, &rows, abroad);
-        let usual_silent = |class: usize| {
-            let silent = rows.iter().map(|row| self.table.endpoints[row.place].silent[class]).collect();
-            0.9 + 2.0 * lowest(3, silent)
+        let cross_zone_share = self.update_cross_zone_share(now);
+        let candidates: Vec<Candidate> =
+            self.rotation.iter().map(|&index| self.candidate(now, index)).collect();
+        let baseline = self.baseline(now, &candidates, cross_zone_share);
+        let unresponsive_limit = |class: usize| {
+            let scores =
+                candidates.iter().map(|c| self.table.endpoints[c.index].unresponsive[class]).collect();
+            0.9 + 2.0 * quantile(3, scores)
         };
-        self.usual_silent = (0..self.settings.classes.len()).map(usual_silent).collect();
-        let ranked = self.rank(now, &rows, &usual);
-        let ranked = || ranked.iter().map(|&at| &rows[at as usize]);
-        // What a warm endpoint takes stays known when none is left; else a cold one would be taken for warm.
-        let warm = ranked().map(|row| row.size * row.warmth).sum();
-        let any_warm = rows.iter().any(|row| row.warmth >= 1.0);
-        let all = ranked().map(|row| row.size * row.cold_part).sum();
-        self.rows_size = ranked().map(|row| row.size * row.part).sum();
-        self.warm_calls.share(now, any_warm.then_some(warm), all);
+        self.unresponsive_limits = (0..self.settings.classes.len()).map(unresponsive_limit).collect();
+        let ranked = self.rank(now, &candidates, &baseline);
+        let ranked = || ranked.iter().map(|&at| &candidates[at as usize]);
+        // The load of a warm endpoint stays known when none is left; otherwise a cold one would count as
+        // warm.
+        let warm = ranked().map(|c| c.size * c.warmth).sum();
+        let any_warm = candidates.iter().any(|c| c.warmth >= 1.0);
+        let all = ranked().map(|c| c.size * c.slow_start_share).sum();
+        self.rotation_size = ranked().map(|c| c.size * c.subset_share).sum();
+        self.warm_requests.set_shared_by(now, any_warm.then_some(warm), all);
     }
 
-    /// Removes what has been gone for long, and lets what was learned of the others fade.
-    fn forget(&mut self, now: Time) {
-        let (memory, alone) = (self.memory, self.settings.rules.use_removed_endpoints);
-        // Danger: where new endpoints replace old ones for ever, the gone must leave the table. Where
-        // draining alone binds they stay, as the mark of their drain does.
-        self.table.remove_all(|up| {
-            let gone = !alone && up.member.state == EndpointState::Removed && up.out < 0.5;
-            gone && now.saturating_sub(up.judged).as_secs_f64() >= memory
+    /// Drops endpoints that were removed long ago, and decays the statistics of the others.
+    fn decay_table(&mut self, now: Time) {
+        let (time_constant, use_removed) = (self.time_constant, self.settings.rules.use_removed_endpoints);
+        // Where new endpoints replace old ones for ever, the table would grow without limit. Where removed
+        // endpoints stay eligible they are kept, as is the mark of those that have drained.
+        self.table.remove_all(|endpoint| {
+            let removed =
+                !use_removed && endpoint.entry.state == EndpointState::Removed && endpoint.in_flight < 0.5;
+            removed && now.saturating_sub(endpoint.decayed_at).as_secs_f64() >= time_constant
         });
-        // Most were judged last at the same time, by the last snapshot.
+        // Most endpoints have the same time, that of the last snapshot, and so the same factor.
         let mut last = (now, 1.0);
-        for up in &mut self.table.endpoints {
-            up.walked = false;
-            if up.may_be_sent_to(alone) {
-                if up.judged != last.0 {
-                    last = (up.judged, fade(up.judged, now, memory));
+        for endpoint in &mut self.table.endpoints {
+            endpoint.in_rotation = false;
+            if endpoint.is_eligible(use_removed) {
+                if endpoint.decayed_at != last.0 {
+                    last = (endpoint.decayed_at, decay(endpoint.decayed_at, now, time_constant));
                 }
-                up.forget_by(now, last.1);
+                endpoint.decay_by(now, last.1);
             }
         }
     }
 
-    /// The row of the endpoint at this place.
-    fn row(&self, now: Time, place: usize) -> Row {
-        let up = &self.table.endpoints[place];
-        Row {
-            place,
-            size: self.size(up),
-            warmth: self.warmth(up, now),
-            home: up.member.zone == self.settings.zone,
-            load: up.load,
-            ended: up.ended,
-            failed: up.failed,
-            slow: up.slow,
-            part: up.part,
-            cold_part: up.cold_part,
+    /// The data of the endpoint at this table index.
+    fn candidate(&self, now: Time, index: usize) -> Candidate {
+        let endpoint = &self.table.endpoints[index];
+        Candidate {
+            index,
+            size: self.size(endpoint),
+            warmth: self.warmth(endpoint, now),
+            same_zone: endpoint.entry.zone == self.settings.zone,
+            load: endpoint.load,
+            attempts: endpoint.attempts,
+            failures: endpoint.failures,
+            latency_ratios: endpoint.latency_ratios,
+            subset_share: endpoint.subset_share,
+            slow_start_share: endpoint.slow_start_share,
         }
     }
 
-    /// What is usual among these rows.
-    fn usual(&self, now: Time, rows: &[Row], abroad: f64) -> Usual {
-        // No figure yet counts as the mean of the others, and an old figure drifts there.
-        let known = || rows.iter().filter_map(|row| Some(row.load?.0 / row.size));
+    /// What is usual among these endpoints.
+    fn baseline(&self, now: Time, candidates: &[Candidate], cross_zone_share: f64) -> Baseline {
+        // An endpoint without a load counts as the mean of the others, and an old load drifts towards it.
+        let known = || candidates.iter().filter_map(|c| Some(c.load?.0 / c.size));
         let load = known().sum::<f64>() / known().count().max(1) as f64;
-        let spread = load.sqrt().max(1.0);
-        let mean_size = rows.iter().map(|row| row.size).sum::<f64>() / rows.len() as f64;
-        let calls_each = self.calls.get(now) * f64::from(self.settings.instances) / rows.len() as f64;
-        // Failures are held against the best row. Danger: where all but one have died and the list does not
-        // say so yet, a middle figure is bad too and none is ejected. Trouble that all share still ejects
-        // none, as each is shrunk towards the mean of all first.
-        let all = rows.iter().map(|row| row.failed).sum::<f64>()
-            / rows.iter().map(|row| row.ended).sum::<f64>().max(1.0);
-        Usual {
+        let noise = load.sqrt().max(1.0);
+        let mean_size = candidates.iter().map(|c| c.size).sum::<f64>() / candidates.len() as f64;
+        let requests_each =
+            self.request_rate.per_second(now) * f64::from(self.settings.instances) / candidates.len() as f64;
+        // Failures are compared with the best endpoint. Where all but one have died and the list does not
+        // show it yet, the median fails as well and would eject none. Trouble that all share still ejects
+        // none, as each failure rate is first shrunk towards the mean of all.
+        let overall = candidates.iter().map(|c| c.failures).sum::<f64>()
+            / candidates.iter().map(|c| c.attempts).sum::<f64>().max(1.0);
+        Baseline {
             load,
-            spread,
-            arrivals: calls_each / mean_size + spread,
-            slow: lowest(2, rows.iter().map(|row| row.slow(1.0)).collect()),
-            failed: rows.iter().map(|row| row.failed(all)).fold(f64::INFINITY, f64::min),
-            abroad,
+            noise,
+            arrivals: requests_each / mean_size + noise,
+            latency_ratio: quantile(2, candidates.iter().map(|c| c.latency_ratio(1.0)).collect()),
+            failure_rate: candidates.iter().map(|c| c.failure_rate(overall)).fold(f64::INFINITY, f64::min),
+            cross_zone_share,
         }
     }
 
-    /// Puts the rows in their order, and gives each its pace; returns the order as positions in `rows`.
-    fn rank(&mut self, now: Time, rows: &[Row], usual: &Usual) -> Vec<u32> {
-        let mut paces = Vec::with_capacity(rows.len());
-        let mut ranked = Vec::with_capacity(rows.len());
-        for (at, row) in rows.iter().enumerate() {
-            let load = row.load.map_or(usual.load, |(load, heard)| {
-                usual.load + (load / row.size - usual.load) * fade(heard, now, self.memory / 4.0)
+    /// Sorts the rotation by load and sets the effective weights; returns the order as positions in
+    /// `candidates`.
+    fn rank(&mut self, now: Time, candidates: &[Candidate], baseline: &Baseline) -> Vec<u32> {
+        let mut weights = Vec::with_capacity(candidates.len());
+        let mut ranked = Vec::with_capacity(candidates.len());
+        for (at, candidate) in candidates.iter().enumerate() {
+            let load = candidate.load.map_or(baseline.load, |(load, reported)| {
+                baseline.load
+                    + (load / candidate.size - baseline.load) * decay(reported, now, self.time_constant / 4.0)
             });
-            paces.push(pace(row, load, usual));
-            // Loads within the noise are ties, and ties go at random.
-            ranked.push(((load / usual.spread).floor(), at as u32));
+            weights.push(effective_weight(candidate, load, baseline));
+            // Loads that differ by less than the noise are ties, which are broken at random.
+            ranked.push(((load / baseline.noise).floor(), at as u32));
         }
-        let fastest = paces.iter().map(|pace| pace.0).fold(0.0, f64::max);
+        let highest = weights.iter().map(|weight| weight.0).fold(0.0, f64::max);
         self.rng.shuffle(&mut ranked);
         ranked.sort_by(|a, b| a.0.total_cmp(&b.0));
-        for (row, (pace, probation)) in rows.iter().zip(paces) {
-            let up = &mut self.table.endpoints[row.place];
-            up.pace = pace / fastest;
-            up.probation = probation;
+        for (candidate, (weight, probation)) in candidates.iter().zip(weights) {
+            let endpoint = &mut self.table.endpoints[candidate.index];
+            endpoint.effective_weight = weight / highest;
+            endpoint.probation = probation;
         }
-        self.rows.clear();
-        self.rows.extend(ranked.iter().map(|&(_, at)| rows[at as usize].place));
+        self.rotation.clear();
+        self.rotation.extend(ranked.iter().map(|&(_, at)| candidates[at as usize].index));
         ranked.into_iter().map(|(_, at)| at).collect()
     }
 
-    /// The size of the rows, as far as they lie in this balancer's stretch.
-    pub(super) fn size_of_rows(&self) -> f64 {
-        let ups = self.rows.iter().map(|&place| &self.table.endpoints[place]);
-        ups.map(|up| self.size(up) * up.part).sum()
+    /// Total size of the rotation; endpoints count by the share of them in this sidecar's subset.
+    pub(super) fn size_of_rotation(&self) -> f64 {
+        let endpoints = self.rotation.iter().map(|&index| &self.table.endpoints[index]);
+        endpoints.map(|endpoint| self.size(endpoint) * endpoint.subset_share).sum()
     }
 }
--- a/crates/module/src/policy/subset.rs
+++ b/crates/module/src/policy/subset.rs
@@ -1,98 +1,105 @@
-//! The subset of the list that a balancer walks, and how often it leaves its own zone.
+//! Subsetting: the endpoints that this sidecar uses, and the share of its requests that leave its zone.
 
 use super::Balancer;
 use crate::interface::*;
 
-/// Each endpoint is walked by so many balancers.
-const COVER: f64 = 12.0;
-/// Each balancer walks so many rows at least.
-const LEAST_ROWS: f64 = 4.0;
-/// Rows of other zones are visited on this share of the laps at least, of so many where home holds over
-/// `CROWDED_HOME` requests a core, and at the most.
-pub(super) const ABROAD: [f64; 3] = [0.02, 0.2, 0.4];
-/// Requests a core over which home counts as crowded.
-const CROWDED_HOME: f64 = 2.0;
+/// Number of sidecars that use each endpoint.
+const SIDECARS_PER_ENDPOINT: f64 = 12.0;
+/// Minimum number of endpoints that a sidecar uses.
+const MIN_ENDPOINTS: f64 = 4.0;
+/// Fraction of the passes in which endpoints of other zones are used: the minimum, the minimum while the own
+/// zone holds more than `LOADED_ZONE_PER_CORE` requests per core, and the maximum.
+pub(super) const CROSS_ZONE_SHARE: [f64; 3] = [0.02, 0.2, 0.4];
+/// Requests per core above which the own zone counts as loaded.
+const LOADED_ZONE_PER_CORE: f64 = 2.0;
 
 impl Balancer {
-    /// Narrows the rows to a subset of the ready endpoints. Danger: a balancer of few calls a second that
-    /// walks a long list hears of each endpoint long ago, judges none, and keeps connections to all.
-    /// Endpoints lie by key on two rings, own zone and others, each as long as its size. Each balancer takes
-    /// a stretch of each from a point that its rank gives, and of the endpoints at its ends the part that
-    /// lies in it, so cover is even by size and moves little with the list. Cold and sick endpoints count in
-    /// part. A stretch stands for its ring; else a zone with few endpoints would get as much as the others.
-    pub(super) fn cover(&mut self, now: Time) {
-        let alone = self.settings.rules.use_removed_endpoints;
+    /// Restricts the rotation to a subset of the eligible endpoints. A sidecar with few requests on a long
+    /// list would learn of each endpoint's load too late, could not judge their health, and would keep
+    /// connections to all of them.
+    ///
+    /// Endpoints are ordered by key on two rings, own zone and other zones, in which each takes up its size.
+    /// Each sidecar takes an arc of each ring, starting at a point given by its rank; endpoints at the ends
+    /// count by the part that lies in the arc. So coverage is even by size and changes little with the list.
+    /// Cold and unhealthy endpoints count in part. The arc stands for its whole ring; otherwise a zone with
+    /// few endpoints would get as much traffic as the others.
+    pub(super) fn select_subset(&mut self, now: Time) {
+        let use_removed = self.settings.rules.use_removed_endpoints;
         let (mut near, mut far) = (Vec::new(), Vec::new());
-        self.table.order();
-        for &(_, place) in &self.table.by_key {
-            let up = &self.table.endpoints[place as usize];
-            if up.may_be_sent_to(alone) {
-                let ring = if up.member.zone == self.settings.zone { &mut near } else { &mut far };
-                ring.push((place as usize, self.size(up)));
+        self.table.sort_by_key();
+        for &(_, index) in &self.table.by_key {
+            let endpoint = &self.table.endpoints[index as usize];
+            if endpoint.is_eligible(use_removed) {
+                let ring = if endpoint.entry.zone == self.settings.zone { &mut near } else { &mut far };
+                ring.push((index as usize, self.size(endpoint)));
             }
         }
-        let ready = (near.len() + far.len()) as f64;
-        let wanted = (ready * COVER / f64::from(self.settings.instances)).max(LEAST_ROWS);
-        self.rows.clear();
-        self.cover_ring(now, &near, wanted);
-        self.cover_ring(now, &far, wanted / 2.0);
+        let eligible = (near.len() + far.len()) as f64;
+        let wanted =
+            (eligible * SIDECARS_PER_ENDPOINT / f64::from(self.settings.instances)).max(MIN_ENDPOINTS);
+        self.rotation.clear();
+        self.select_arc(now, &near, wanted);
+        self.select_arc(now, &far, wanted / 2.0);
     }
 
-    /// Takes this balancer's stretch of a ring of places and sizes, so many rows long.
-    fn cover_ring(&mut self, now: Time, ring: &[(usize, f64)], wanted: f64) {
-        // Ranks that lie evenly, whichever of them share a zone, start evenly: multiples of the golden ratio.
+    /// Adds this sidecar's arc of a ring to the rotation, `wanted` endpoints long. The ring consists of table
+    /// indices and sizes.
+    fn select_arc(&mut self, now: Time, ring: &[(usize, f64)], wanted: f64) {
+        // Multiples of the golden ratio spread the starts evenly for any evenly spaced ranks, whichever of
+        // them share a zone.
         let start = (f64::from(self.settings.rank) * 0.618_033_988_749_895).fract();
-        let whole: f64 = ring.iter().map(|row| row.1).sum();
-        let stretch = (wanted * whole / ring.len().max(1) as f64).min(whole);
-        let mut skip = if stretch < whole { start * whole } else { 0.0 };
-        let (mut left, mut taken, first) = (stretch, 0.0, self.rows.len());
+        let ring_size: f64 = ring.iter().map(|endpoint| endpoint.1).sum();
+        let arc = (wanted * ring_size / ring.len().max(1) as f64).min(ring_size);
+        let mut skip = if arc < ring_size { start * ring_size } else { 0.0 };
+        let (mut remaining, mut taken, first) = (arc, 0.0, self.rotation.len());
         for step in 0..ring.len() * 2 {
-            let (place, size) = ring[step % ring.len()];
+            let (index, size) = ring[step % ring.len()];
             if skip >= size {
                 skip -= size;
                 continue;
             }
-            let up = &self.table.endpoints[place];
-            if left <= 0.0 || step >= ring.len() && up.walked {
+            let endpoint = &self.table.endpoints[index];
+            if remaining <= 0.0 || step >= ring.len() && endpoint.in_rotation {
                 break;
             }
-            let sound = if up.probation { 0.0 } else { self.warmth(up, now) };
-            let part = (size - skip).min(if sound > 0.0 { left / sound } else { size });
+            let capacity = if endpoint.probation { 0.0 } else { self.warmth(endpoint, now) };
+            let part = (size - skip).min(if capacity > 0.0 { remaining / capacity } else { size });
             skip = 0.0;
-            left -= part * sound;
+            remaining -= part * capacity;
             taken += part;
-            self.rows.push(place);
-            let up = &mut self.table.endpoints[place];
-            up.walked = true;
-            up.part = part / size * whole / stretch;
+            self.rotation.push(index);
+            let endpoint = &mut self.table.endpoints[index];
+            endpoint.in_rotation = true;
+            endpoint.subset_share = part / size * ring_size / arc;
         }
-        for &place in &self.rows[first..] {
-            self.table.endpoints[place].cold_part = (stretch / taken).min(1.0);
+        for &index in &self.rotation[first..] {
+            self.table.endpoints[index].slow_start_share = (arc / taken).min(1.0);
         }
     }
 
-    /// How often rows of other zones are visited, against own rows. Crossings cost time and a price, so the
-    /// walk stays at home until home is more loaded than the rest by ten times the price. Danger: a zone
-    /// with more traffic than its endpoints can carry; the share abroad grows until loads are level.
-    pub(super) fn lean_home(&mut self, now: Time) -> f64 {
+    /// Updates the share of cross-zone requests. They cost time and have a price, so requests stay in the own
+    /// zone until it is more loaded than the others by ten times the price. A zone may have more traffic than
+    /// its endpoints can carry, so the share grows until the loads are level.
+    pub(super) fn update_cross_zone_share(&mut self, now: Time) -> f64 {
         let (mut sums, mut counts) = ([0.0; 2], [0.0; 2]);
-        for up in self.rows.iter().map(|&place| &self.table.endpoints[place]) {
-            if let Some((load, _)) = up.load {
-                let side = usize::from(up.member.zone != self.settings.zone);
-                sums[side] += load / self.size(up);
+        for endpoint in self.rotation.iter().map(|&index| &self.table.endpoints[index]) {
+            if let Some((load, _)) = endpoint.load {
+                let side = usize::from(endpoint.entry.zone != self.settings.zone);
+                sums[side] += load / self.size(endpoint);
                 counts[side] += 1.0;
             }
         }
-        let since = now.saturating_sub(self.refreshed).as_secs_f64().min(1.0);
+        let elapsed = now.saturating_sub(self.last_refresh).as_secs_f64().min(1.0);
         if counts[0] > 0.0 && counts[1] > 0.0 {
             let (near, far) = (sums[0] / counts[0], sums[1] / counts[1]);
-            let worth_it = 1.0 + 10.0 * self.settings.prices.cross_zone;
-            let gap = (near - worth_it * far) / (near + far).max(1.0);
-            // Danger: one full row abroad hides the idle ones from the mean.
-            let crowded = (near - CROWDED_HOME).clamp(0.0, 1.0);
-            let least = ABROAD[0] + (ABROAD[1] - ABROAD[0]) * crowded;
-            self.abroad = (self.abroad * (4.0 * since * gap).exp()).clamp(least, ABROAD[2]);
+            let price_factor = 1.0 + 10.0 * self.settings.prices.cross_zone;
+            let gap = (near - price_factor * far) / (near + far).max(1.0);
+            // One full endpoint in another zone hides that the others there are idle, as it raises the mean.
+            let loaded = (near - LOADED_ZONE_PER_CORE).clamp(0.0, 1.0);
+            let min = CROSS_ZONE_SHARE[0] + (CROSS_ZONE_SHARE[1] - CROSS_ZONE_SHARE[0]) * loaded;
+            self.cross_zone_share =
+                (self.cross_zone_share * (4.0 * elapsed * gap).exp()).clamp(min, CROSS_ZONE_SHARE[2]);
         }
-        self.abroad
+        self.cross_zone_share
     }
 }
--- a/crates/module/src/policy/table.rs
+++ b/crates/module/src/policy/table.rs
@@ -1,111 +1,113 @@
-//! The table of endpoints: what is known of each, and the lists that change it.
+//! The endpoint table: state per endpoint, and the endpoint lists that change it.
 
 use super::Balancer;
-use super::rate::fade;
+use super::rate::decay;
 use crate::interface::*;
 use std::collections::BTreeSet;
 
-/// The most attempts an endpoint is judged by.
-const JUDGED: f64 = 20.0;
+/// Maximum number of attempts that count for an endpoint's health.
+const MAX_HEALTH_ATTEMPTS: f64 = 20.0;
 
-/// What is known of one endpoint.
+/// State and statistics of one endpoint.
 #[derive(Debug, Default)]
 pub(super) struct Endpoint {
-    pub(super) member: EndpointEntry,
-    /// It was listed as draining and not as ready since.
+    pub(super) entry: EndpointEntry,
+    /// Listed as draining, and not as ready since.
     pub(super) drained: bool,
-    /// The load it reported last, and when.
+    /// The last reported load and its time.
     pub(super) load: Option<(f64, Time)>,
-    pub(super) probed: Option<Time>,
-    /// Faded counts: attempts ended, those that failed, and the sum of latency over expected latency.
-    pub(super) ended: f64,
-    pub(super) failed: f64,
-    pub(super) slow: f64,
-    /// The time up to which they have faded.
-    pub(super) judged: Time,
-    /// The share of the laps in which it is visited.
-    pub(super) pace: f64,
-    /// What part of it lies in this balancer's stretch, times what the stretch stands for.
-    pub(super) part: f64,
-    /// What its visits add up to; a whole one is a call.
+    pub(super) last_probe: Option<Time>,
+    /// Decayed sums over ended attempts: their number, the failures among them, and the ratios of actual to
+    /// expected latency.
+    pub(super) attempts: f64,
+    pub(super) failures: f64,
+    pub(super) latency_ratios: f64,
+    /// Time up to which these sums have decayed.
+    pub(super) decayed_at: Time,
+    /// Fraction of the round-robin passes in which the endpoint gets a request.
+    pub(super) effective_weight: f64,
+    /// Fraction of the endpoint in this sidecar's subset, scaled up to the whole ring, see `select_subset`.
+    pub(super) subset_share: f64,
+    /// Round-robin credit: effective weights add up in it, and a request takes 1.
     pub(super) credit: f64,
-    /// Faded count of late or failed attempts of each class, less what it has answered since.
-    pub(super) silent: Vec<f64>,
-    /// Connections to it, idle ones too; more than these could not be made, see `book_connection`.
-    pub(super) open: f64,
-    /// Connections in a row that could not be made.
-    pub(super) unmade: i32,
-    pub(super) down_until: Time,
-    /// It fails or is slow: repeatable calls only.
+    /// Per class: decayed number of slow or failed attempts, halved by each response.
+    pub(super) unresponsive: Vec<f64>,
+    /// Number of connections, idle ones included, that are known to exist, see `record_connect`.
+    pub(super) connections: f64,
+    /// Consecutive failed connects.
+    pub(super) failed_connects: i32,
+    /// No new connections are tried until then.
+    pub(super) connect_backoff_until: Time,
+    /// Failing or slow: gets only requests that can be retried.
     pub(super) probation: bool,
-    pub(super) used: Time,
-    /// When it last answered anything, a probe included.
-    pub(super) heard: Time,
-    /// When the last request was sent that it took.
-    pub(super) accepted: Option<Time>,
-    /// Own attempts out to it.
-    pub(super) out: f64,
-    /// It is one of the rows that are walked.
-    pub(super) walked: bool,
-    /// What a cold endpoint may still be sent.
-    pub(super) cold_left: f64,
-    /// The part of the calls of a warm one that it may have: less where cold ones let balancers walk more
-    /// rows.
-    pub(super) cold_part: f64,
-    /// The total of `WarmCalls` up to which `cold_left` counts.
-    pub(super) cold_at: f64,
+    pub(super) last_used: Time,
+    /// Time of the last response, probes included.
+    pub(super) last_response: Time,
+    /// Time at which the last accepted request was sent.
+    pub(super) last_accepted: Option<Time>,
+    /// Own attempts in flight.
+    pub(super) in_flight: f64,
+    pub(super) in_rotation: bool,
+    /// Number of requests that slow start still permits.
+    pub(super) slow_start_credit: f64,
+    /// Fraction of the load of a warm endpoint that a cold one may get from this sidecar; below 1 where cold
+    /// endpoints make sidecars use more endpoints.
+    pub(super) slow_start_share: f64,
+    /// The total of `WarmRequests` up to which `slow_start_credit` counts.
+    pub(super) slow_start_total: f64,
 }
 
 impl Endpoint {
-    /// Rule 3. Danger: a list may name endpoints as gone that run and serve, even all of a tier. Where the
-    /// state of draining alone binds, they stay in the walk and their own answers tell who is dead.
-    pub(super) fn may_be_sent_to(&self, use_removed_endpoints: bool) -> bool {
-        match self.member.state {
+    /// Returns true unless the endpoint list excludes the endpoint. With `use_removed`, only draining does: a
+    /// faulty list may show running endpoints as removed, even all of a tier. They stay in rotation then, and
+    /// the outcomes of own attempts show which of them are dead.
+    pub(super) fn is_eligible(&self, use_removed: bool) -> bool {
+        match self.entry.state {
             EndpointState::Ready => true,
             EndpointState::Draining => false,
-            EndpointState::Removed => use_removed_endpoints && !self.drained,
+            EndpointState::Removed => use_removed && !self.drained,
         }
     }
 
-    /// It takes no new connection, and the ones it has are in use.
+    /// Returns true if the endpoint accepts no new connections and the existing ones are in use.
     pub(super) fn unreachable(&self, now: Time) -> bool {
-        self.down_until > now && self.out >= self.open
+        self.connect_backoff_until > now && self.in_flight >= self.connections
     }
 
-    /// Lets what it is judged by fade up to `now`.
-    pub(super) fn forget(&mut self, now: Time, memory: f64) {
-        self.forget_by(now, fade(self.judged, now, memory));
+    /// Decays the statistics up to `now`.
+    pub(super) fn decay(&mut self, now: Time, time_constant: f64) {
+        self.decay_by(now, decay(self.decayed_at, now, time_constant));
     }
 
-    /// Forgets by this factor, which is what fades from when it was judged last until now.
-    pub(super) fn forget_by(&mut self, now: Time, faded: f64) {
-        // However many attempts there were, the last few count.
-        let kept = faded * (JUDGED / self.ended.max(JUDGED));
-        self.ended *= kept;
-        self.failed *= kept;
-        self.slow *= kept;
-        for silent in &mut self.silent {
-            *silent *= faded;
+    /// Decays the statistics up to `now` by this factor.
+    pub(super) fn decay_by(&mut self, now: Time, factor: f64) {
+        // Limits the number of attempts that count, so that the last few matter however many there were.
+        let kept = factor * (MAX_HEALTH_ATTEMPTS / self.attempts.max(MAX_HEALTH_ATTEMPTS));
+        self.attempts *= kept;
+        self.failures *= kept;
+        self.latency_ratios *= kept;
+        for score in &mut self.unresponsive {
+            *score *= factor;
         }
-        self.judged = now;
+        self.decayed_at = now;
     }
 }
 
-/// All endpoints that are listed, and for a while what is gone, in the order of their ids. A place in it is
-/// good until an endpoint is added or removed.
+/// All listed endpoints, and removed ones for a while, in the order of their ids. An index is valid until an
+/// endpoint is added or removed.
 #[derive(Debug, Default)]
 pub(super) struct Table {
     pub(super) ids: Vec<EndpointId>,
     pub(super) endpoints: Vec<Endpoint>,
-    /// Places by key, while `ordered`.
+    /// Keys and indices in the order of the keys; valid while `sorted`.
     pub(super) by_key: Vec<(u64, u32)>,
-    pub(super) ordered: bool,
+    pub(super) sorted: bool,
 }
 
 impl Table {
-    /// Where this endpoint stands.
-    pub(super) fn place(&self, id: EndpointId) -> Option<usize> {
-        // Ids are given out one after the other, so most endpoints stand as far from the first as their id.
+    /// The index of an endpoint.
+    pub(super) fn index_of(&self, id: EndpointId) -> Option<usize> {
+        // Ids are assigned consecutively, so most indices equal the distance from the first id.
         let likely = id.0.checked_sub(self.ids.first()?.0)? as usize;
         if self.ids.get(likely) == Some(&id) {
             return Some(likely);
@@ -113,144 +115,144 @@
         self.ids.binary_search(&id).ok()
     }
 
-    /// What is known of this endpoint.
     pub(super) fn get(&self, id: EndpointId) -> Option<&Endpoint> {
-        self.place(id).map(|place| &self.endpoints[place])
+        self.index_of(id).map(|index| &self.endpoints[index])
     }
 
-    /// The same, to be changed.
     pub(super) fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
-        self.place(id).map(|place| &mut self.endpoints[place])
+        self.index_of(id).map(|index| &mut self.endpoints[index])
     }
 
-    /// What is known of this endpoint, which is added if it is new.
     fn get_or_insert_with(&mut self, id: EndpointId, new: impl FnOnce() -> Endpoint) -> &mut Endpoint {
-        let place = match self.place(id) {
-            Some(place) => place,
+        let index = match self.index_of(id) {
+            Some(index) => index,
             None => {
-                let place = self.ids.partition_point(|&other| other < id);
-                self.ids.insert(place, id);
-                self.endpoints.insert(place, new());
-                self.ordered = false;
-                place
+                let index = self.ids.partition_point(|&other| other < id);
+                self.ids.insert(index, id);
+                self.endpoints.insert(index, new());
+                self.sorted = false;
+                index
             }
         };
-        &mut self.endpoints[place]
+        &mut self.endpoints[index]
     }
 
-    /// Makes room for a list of so many, and no more than that.
-    fn reserve(&mut self, listed: usize) {
-        let more = listed.saturating_sub(self.ids.len());
-        self.ids.reserve_exact(more);
-        self.endpoints.reserve_exact(more);
+    /// Reserves exactly the space for this many endpoints.
+    fn reserve(&mut self, total: usize) {
+        let additional = total.saturating_sub(self.ids.len());
+        self.ids.reserve_exact(additional);
+        self.endpoints.reserve_exact(additional);
     }
 
-    /// Removes those of which this holds.
+    /// Removes the endpoints that match the predicate.
     pub(super) fn remove_all(&mut self, removed: impl Fn(&Endpoint) -> bool) {
         if !self.endpoints.iter().any(&removed) {
             return;
         }
-        let mut stays = self.endpoints.iter().map(|up| !removed(up)).collect::<Vec<_>>().into_iter();
+        let mut stays =
+            self.endpoints.iter().map(|endpoint| !removed(endpoint)).collect::<Vec<_>>().into_iter();
         self.ids.retain(|_| stays.next().unwrap_or(true));
-        self.endpoints.retain(|up| !removed(up));
-        self.ordered = false;
+        self.endpoints.retain(|endpoint| !removed(endpoint));
+        self.sorted = false;
     }
 
-    /// Puts the places in order of their keys, if that has changed.
-    pub(super) fn order(&mut self) {
-        if !self.ordered {
-            let keys = self.endpoints.iter().enumerate().map(|(place, up)| (up.member.key, place as u32));
+    /// Sorts `by_key` if the table has changed.
+    pub(super) fn sort_by_key(&mut self) {
+        if !self.sorted {
+            let keys =
+                self.endpoints.iter().enumerate().map(|(index, endpoint)| (endpoint.entry.key, index as u32));
             self.by_key.clear();
             self.by_key.extend(keys);
             self.by_key.sort_unstable();
-            self.ordered = true;
+            self.sorted = true;
         }
     }
 }
 
 impl Balancer {
-    /// What is known of this endpoint.
     pub(super) fn endpoint(&self, id: EndpointId) -> Option<&Endpoint> {
         self.table.get(id)
     }
 
-    /// The same, to be changed.
     pub(super) fn endpoint_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         self.table.get_mut(id)
     }
 
-    /// News of the list.
-    pub(super) fn members(&mut self, now: Time, scope: ListScope, entries: &[EndpointEntry]) {
+    /// Applies an endpoint list or changes to it.
+    pub(super) fn update_endpoints(&mut self, now: Time, scope: ListScope, entries: &[EndpointEntry]) {
         if scope != ListScope::Restored {
-            self.refused_lists = 0;
+            self.discovery_failures = 0;
         }
         if scope != ListScope::Changes {
-            self.mark_gone(entries);
+            self.mark_missing_as_removed(entries);
             self.table.reserve(entries.len());
         }
         for entry in entries {
-            self.member(now, entry);
+            self.update_endpoint(now, entry);
         }
-        self.snapshot(now);
+        self.take_snapshot(now);
     }
 
-    /// What a complete list leaves out is gone.
-    fn mark_gone(&mut self, entries: &[EndpointEntry]) {
+    /// Marks all endpoints as removed that a complete list does not contain.
+    fn mark_missing_as_removed(&mut self, entries: &[EndpointEntry]) {
         let listed: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
         for id in self.table.ids.clone() {
-            if let Some(up) = self.endpoint_mut(id).filter(|_| !listed.contains(&id)) {
-                up.member.state = EndpointState::Removed;
-                self.let_go(id);
+            if let Some(endpoint) = self.endpoint_mut(id).filter(|_| !listed.contains(&id)) {
+                endpoint.entry.state = EndpointState::Removed;
+                self.close_idle_unless_ready(id);
             }
         }
     }
 
-    /// One entry of a list.
-    fn member(&mut self, now: Time, entry: &EndpointEntry) {
-        // Danger: many balancers that save up for a whole call would all spend it in the same second.
-        let cold_left = self.rng.f64();
-        let cold_at = self.warm_calls.sum(now);
-        // Danger: where each calls once within the ramp, none would come to a row that has a part of a turn.
+    /// Applies one entry of a list.
+    fn update_endpoint(&mut self, now: Time, entry: &EndpointEntry) {
+        // Random initial credits: sidecars that all began at zero would send their first request to a cold
+        // endpoint in the same second.
+        let slow_start_credit = self.rng.f64();
+        let slow_start_total = self.warm_requests.integrate(now);
+        // Where each sidecar sends only one request within the ramp, an endpoint that gets less than one turn
+        // per pass would get none without this initial credit.
         let credit = if self.warmth_of(entry, now) < 1.0 { self.rng.f64() } else { 0.0 };
         let classes = self.settings.classes.len();
-        let fresh = || Endpoint {
-            member: entry.clone(),
-            judged: now,
-            part: 1.0,
-            cold_part: 1.0,
-            silent: vec![0.0; classes],
-            used: now,
+        let new = || Endpoint {
+            entry: entry.clone(),
+            decayed_at: now,
+            subset_share: 1.0,
+            slow_start_share: 1.0,
+            unresponsive: vec![0.0; classes],
+            last_used: now,
             credit,
-            cold_left,
-            cold_at,
+            slow_start_credit,
+            slow_start_total,
             ..Endpoint::default()
         };
-        let up = self.table.get_or_insert_with(entry.endpoint, fresh);
-        let other_key = up.member.key != entry.key;
-        let drained = up.drained && entry.state == EndpointState::Removed;
-        if up.member.started != entry.started {
-            *up = fresh();
+        let endpoint = self.table.get_or_insert_with(entry.endpoint, new);
+        let key_changed = endpoint.entry.key != entry.key;
+        let drained = endpoint.drained && entry.state == EndpointState::Removed;
+        if endpoint.entry.started != entry.started {
+            *endpoint = new();
         }
-        up.drained = entry.state == EndpointState::Draining || drained;
-        up.member = entry.clone();
+        endpoint.drained = entry.state == EndpointState::Draining || drained;
+        endpoint.entry = entry.clone();
         if !entry.weight.is_finite() || entry.weight <= 0.0 {
-            up.member.weight = 1.0;
+            endpoint.entry.weight = 1.0;
         }
-        self.table.ordered &= !other_key;
-        self.let_go(entry.endpoint);
+        self.table.sorted &= !key_changed;
+        self.close_idle_unless_ready(entry.endpoint);
     }
 
-    /// Rule 5: idle connections to what drains are closed, at the notice and after each later outcome.
-    pub(super) fn let_go(&mut self, id: EndpointId) {
+    /// Closes idle connections to an endpoint that is not ready: at the notification and after each later
+    /// outcome.
+    pub(super) fn close_idle_unless_ready(&mut self, id: EndpointId) {
         if self.settings.rules.close_idle_within.is_some()
-            && self.endpoint(id).is_some_and(|up| up.member.state != EndpointState::Ready)
+            && self.endpoint(id).is_some_and(|endpoint| endpoint.entry.state != EndpointState::Ready)
         {
             self.actions.push(Action::CloseIdle(id));
         }
     }
 
-    /// An endpoint's size against the others', where the list tells it.
-    pub(super) fn size(&self, up: &Endpoint) -> f64 {
-        if self.settings.weights == WeightKind::Size { up.member.weight } else { 1.0 }
+    /// The size of an endpoint relative to others, where the list states it.
+    pub(super) fn size(&self, endpoint: &Endpoint) -> f64 {
+        if self.settings.weights == WeightKind::Size { endpoint.entry.weight } else { 1.0 }
     }
 }
