--- a/crates/module/src/interface.rs
+++ b/crates/module/src/interface.rs
@@ -100,16 +100,16 @@
     pub max_retry_after: Duration,
 }
 
-/// Rules that the balancer must keep, and the behavior of endpoints behind them.
+/// Rules that the balancer must follow, and the endpoint behavior that they are based on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rules {
     /// Minimum fraction of its capacity that an endpoint has right after its start.
     pub cold_capacity: f64,
     /// Time after its start until an endpoint has its full capacity.
     pub ramp: Duration,
-    /// An endpoint that is sent more than this multiple of its present capacity ...
+    /// Multiple of its current capacity above which an endpoint becomes overloaded.
     pub overload_factor: f64,
-    /// ... for this long becomes overloaded and fails.
+    /// Time of load above `overload_factor` after which an endpoint fails.
     pub overload_after: Duration,
     /// Time after the notification within which attempts to a draining endpoint must cease.
     pub drain_grace: Duration,
@@ -206,7 +206,7 @@
     pub over_quota_value: f64,
     /// Permitted actions.
     pub limits: Limits,
-    /// Rules to keep.
+    /// Rules to follow.
     pub rules: Rules,
     /// Costs of probes, waste and cross-zone attempts.
     pub prices: Prices,
@@ -465,7 +465,7 @@
         finished: bool,
         /// The outcome.
         outcome: Outcome,
-        /// Time since the start.
+        /// Time since the attempt was sent.
         latency: Duration,
         /// The endpoint's load report, if it sent one.
         report: Option<LoadReport>,
@@ -487,7 +487,7 @@
         endpoint: EndpointId,
         /// The outcome.
         outcome: Outcome,
-        /// Time since the start.
+        /// Time since the probe was sent.
         latency: Duration,
         /// The endpoint's load report, if it sent one.
         report: Option<LoadReport>,
--- a/crates/module/src/policy.rs
+++ b/crates/module/src/policy.rs
@@ -61,16 +61,18 @@
     /// Total size of the rotation; endpoints that are only partly in this sidecar's subset count in part.
     rotation_size: f64,
     requests: BTreeMap<RequestId, Request>,
-    /// Per class.
+    /// Latency statistics per class.
     latencies: Vec<ClassLatency>,
     /// Request rate per tenant.
     tenant_rates: Vec<Rate>,
     /// Per class: an endpoint whose `unresponsive` score exceeds this gets no requests of the class.
     unresponsive_limits: Vec<f64>,
     request_rate: Rate,
+    /// Rate of finished requests that had an attempt.
     completion_rate: Rate,
     /// Moving average of response times, as a multiple of their uncongested times.
     slowdown: f64,
+    /// Time of the last outcome that counted for `slowdown`.
     last_response: Time,
     /// Fraction of recent attempts that endpoints rejected because of load.
     rejected_share: f64,
--- a/crates/module/src/policy/admission.rs
+++ b/crates/module/src/policy/admission.rs
@@ -75,8 +75,8 @@
         // Full endpoints with short queues reject all classes alike before response times rise.
         let rejected = self.rejected_share / (0.1 + 0.9 * value);
         // The last responses before everything is rejected are the slow ones and would keep rejections going,
-        // as no others follow. With this few requests in flight, a sidecar overloads nobody, however long
-        // they took.
+        // as no others follow. With this few requests in flight, a sidecar cannot overload the endpoints,
+        // however long they took.
         let share = self.rotation_size / f64::from(self.settings.instances);
         let few = self.requests.len() as f64 + 1.0 <= UNSHED_PER_CORE * share;
         let pressure = if few { rejected } else { rejected.max(time / limit) };
--- a/crates/module/src/policy/snapshot.rs
+++ b/crates/module/src/policy/snapshot.rs
@@ -5,7 +5,7 @@
 use crate::interface::*;
 
 /// An endpoint whose health leaves it less than this fraction of its weight is on probation: it gets only
-/// requests that can be retried.
+/// safe requests.
 const PROBATION: f64 = 0.3;
 /// Minimum health factor: the few requests by which an ejected endpoint shows that it has recovered.
 const MIN_HEALTH: f64 = 0.02;
--- a/crates/module/src/policy/table.rs
+++ b/crates/module/src/policy/table.rs
@@ -38,7 +38,7 @@
     pub(super) failed_connects: i32,
     /// No new connections are tried until then.
     pub(super) connect_backoff_until: Time,
-    /// Failing or slow: gets only requests that can be retried.
+    /// Failing or slow: gets only safe requests while other endpoints are eligible.
     pub(super) probation: bool,
     pub(super) last_used: Time,
     /// Time of the last response, probes included.
