--- a/crates/budget/src/allocator.rs
+++ b/crates/budget/src/allocator.rs
@@ -1,4 +1,4 @@
-//! An allocator, or a candidate for it: runs for election, and while it is elected divides the limits among the holders.
+//! The allocator, or a candidate for it: runs for election, and while elected divides the limits among the holders.
 
 use crate::config::{Config, Time};
 use crate::divide::{Claim, divide};
--- a/crates/budget/src/budget.rs
+++ b/crates/budget/src/budget.rs
@@ -203,8 +203,8 @@
 
     /// Acquires one use of a limit; an error is the time after which to try again.
     ///
-    /// `now` has to be read immediately before the call and after anything that the use waited for, because the lease may
-    /// have expired meanwhile.
+    /// `now` has to be read immediately before the call and after anything that the use waited for, because the lease
+    /// may have expired meanwhile.
     pub fn try_acquire(&mut self, limit: usize, now: Time) -> Result<(), Time> {
         let (request_interval, share_over_time) =
             (self.config.request_interval(), self.share_over_time(limit, now));
--- a/crates/budget/src/config.rs
+++ b/crates/budget/src/config.rs
@@ -88,7 +88,7 @@
     pub roster: Vec<SocketAddrV4>,
     /// Duration of a lease.
     pub lease: Time,
-    /// Limits to divide.
+    /// Limits to divide. Methods that take a `limit` mean an index into this list.
     pub limits: Vec<Limit>,
     /// Weight of this sidecar in the division.
     pub weight: u32,
--- a/crates/budget/src/core.rs
+++ b/crates/budget/src/core.rs
@@ -1,4 +1,5 @@
-//! The protocol of one sidecar: always a holder; also a voter and a candidate for allocator if the configuration lists it.
+//! The protocol of one sidecar: always a holder, and also a voter and a candidate for allocator if it is configured as
+//! one.
 
 use crate::allocator::{Allocator, LeaseRequest};
 use crate::config::{Config, Time};
@@ -85,8 +86,8 @@
         self.voter_role.as_ref().map_or(0, |role| role.allocator.charged(config, now, limit))
     }
 
-    /// As the allocator: the number of holders, of claims beyond a limit (always 0 unless the protocol is broken), and of
-    /// requests that were dropped because there were too many holders.
+    /// As the allocator: the number of holders, of claims beyond a limit (always 0 unless the protocol is broken), and
+    /// of requests that were dropped because there were too many holders.
     pub fn allocator_stats(&self) -> (usize, u64, u64) {
         self.voter_role.as_ref().map_or((0, 0, 0), |role| {
             (role.allocator.holders(), role.allocator.over_limit, role.allocator.dropped_requests)
--- a/crates/budget/src/divide.rs
+++ b/crates/budget/src/divide.rs
@@ -11,8 +11,8 @@
 
 /// Divides a pool into one share for each claim, each share a multiple of `unit`.
 ///
-/// No claim gets more than its demand while another one whose demand is not met has less for its weight. Of what exceeds
-/// all demands, half is spread by weight; the other half is kept for claims whose demand rises.
+/// No claim gets more than its demand while another one whose demand is not met has less for its weight. Of what
+/// exceeds all demands, half is spread by weight; the other half is kept for claims whose demand rises.
 pub fn divide(pool: u64, unit: u64, claims: &[Claim]) -> Vec<u64> {
     let unit = unit.max(1);
     let units = pool / unit;
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,8 +1,8 @@
-//! Divides fleet-wide limits (requests of a tenant, retries, connections) among the sidecars of the fleet, and divides them
-//! again as sidecars come and go. At every instant the shares in force sum to no more than the limit.
+//! Divides fleet-wide limits (requests of a tenant, retries, connections) among the sidecars of the fleet, and divides
+//! them again as sidecars come and go. At every instant the shares in force sum to no more than the limit.
 //!
-//! An allocator, elected by the voters, lends shares of each limit to holders for the duration of a lease. Some sidecars
-//! also have a guaranteed share that needs no lease. All quantities are integers in thousandths.
+//! An allocator, elected by the voters, lends shares of each limit to holders for the duration of a lease. The sidecars
+//! of the roster also have a guaranteed share that needs no lease. Amounts are integers in thousandths.
 //!
 //! [`Core`] is the protocol: votes, the allocator's records and a holder's lease, without sockets, clocks or random
 //! numbers. [`Budget`] adds what a sidecar needs around it: messages as bytes, admission of single uses, measurement of
--- a/crates/budget/src/message.rs
+++ b/crates/budget/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between holders, voters and allocators, and their encoding: the bytes `cb`, the format version (1 byte), the
-//! digest of the configuration (8 bytes), the body (postcard), and a checksum over all of these (4 bytes).
+//! Messages between holders, voters and allocators, and their encoding: the bytes `cb`, the format version (1 byte),
+//! the digest of the configuration (8 bytes), the body (postcard), and a checksum over all of these (4 bytes).
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/budget/src/usage.rs
+++ b/crates/budget/src/usage.rs
@@ -40,8 +40,8 @@
         TokenBucket { tokens: 0.0, updated_at: now }
     }
 
-    /// Adds the tokens of the time since the last call. The share must not have changed since then, except by the expiry
-    /// of its lease.
+    /// Adds the tokens of the time since the last call. The share must not have changed since then, except by the
+    /// expiry of its lease.
     pub fn refill(&mut self, now: Time, share: Share, burst: u64, size: u64) {
         let expiry = share.lease_expires_at.clamp(self.updated_at, now.max(self.updated_at));
         let lent = if self.updated_at < share.lease_expires_at { share.lent } else { 0 };
--- a/crates/budget/tests/fuzz.rs
+++ b/crates/budget/tests/fuzz.rs
@@ -1,7 +1,7 @@
-//! Fuzz test of what arrives from the network: mutated messages, most of them with a valid checksum so that they reach the
-//! decoder and the protocol. `FUZZ_ROUNDS` sets the number of messages; the default and the seed are fixed, so that the
-//! result is the same each time. `corpus/` holds messages of every kind, and later additions; `FUZZ_WRITE=1` writes the
-//! initial ones again.
+//! Fuzz test of what arrives from the network: mutated messages, most of them with a valid checksum so that they reach
+//! the decoder and the protocol. `FUZZ_ROUNDS` sets the number of messages; the default and the seed are fixed, so that
+//! the result is the same each time. `corpus/` holds messages of every kind, and inputs that were worth keeping;
+//! `FUZZ_WRITE=1` writes the former again.
 
 #[path = "../../membership/tests/mutants/mod.rs"]
 mod mutants;
--- a/crates/budget/tests/model.rs
+++ b/crates/budget/tests/model.rs
@@ -1,6 +1,6 @@
-//! The protocol under a model checker: three voters and one more holder; messages that are delayed, lost, duplicated and
-//! reordered; pauses, restarts with empty memory, and clocks that run at different rates. Time advances in steps. What
-//! is checked is the code that runs in production, not a separate model of it.
+//! The protocol under a model checker: three voters and one more holder; messages that are delayed, lost, duplicated
+//! and reordered; pauses, restarts with empty memory, and clocks that run at different rates. Time advances in steps.
+//! What is checked is the code that runs in production, not a separate model of it.
 
 use cometcroft_budget::{Config, Core, Limit, LimitKind, Message, Safeguards, Time};
 use stateright::{Checker, Chooser, Model, Property};
@@ -604,8 +604,8 @@
             run.steps(3);
             run.cut_links(&[(0, 1), (0, 2)]);
             run.steps(1);
-            let asked = run.state.in_flight.len() - 1;
-            run.state.in_flight.drain(..asked);
+            let last = run.state.in_flight.len() - 1;
+            run.state.in_flight.drain(..last);
             // Holder 3 is paused after it has sent a request. Its lease expires and its share is lent to others; then
             // another allocator is elected, and the request arrives there.
             run.state.sidecars[3].paused = true;
--- a/crates/budget/tests/wire_format.rs
+++ b/crates/budget/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Values that sidecars of different versions have to agree on: the digest of a configuration, and each message byte for
-//! byte. A sidecar with another digest or encoding could not talk to the rest of its fleet during an upgrade.
+//! Values that sidecars of different versions have to agree on: the digest of a configuration, and each message byte
+//! for byte. A sidecar with another digest or encoding could not talk to the rest of its fleet during an upgrade.
 
 use cometcroft_budget::{Ballot, Config, Limit, LimitKind, Message, encode};
 use std::net::{Ipv4Addr, SocketAddrV4};
