--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! A bootstrap: at an operator's command the log begins a new history from the newest copy that can be reached.
+//! A bootstrap: at an operator's command, the log begins a new history from the newest copy that can be reached.
 
 use crate::chain::{BOOTSTRAP_RANDOM_BITS, Epoch, Position, VoterSet};
 use crate::config::{Config, Time};
@@ -8,51 +8,51 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Answers to the query are gathered for this long.
+/// How long answers to the query are gathered.
 const GATHER_TIMEOUT: Duration = Duration::from_millis(800);
-/// The newest copy must be fetched within this.
+/// Time limit for fetching the newest copy.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
-/// A majority must vote within this.
+/// Time limit for a majority to vote.
 const VOTE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Questions are repeated at this interval.
-const ASK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which the requests of a stage are sent again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Debug)]
 enum Stage {
-    /// Members are asked what they hold.
+    /// Asks all members which copy of the log they hold.
     Gather,
-    /// The newest copy is fetched.
+    /// Fetches the newest copy.
     Fetch,
-    /// Voters are asked to vote for a history that begins with these voters.
+    /// Asks the voters to vote for a history that begins with this voter set.
     Vote(VoterSet),
 }
 
-/// What the log is to do for a bootstrap.
+/// The next action of the log for its bootstrap.
 pub(crate) enum Step {
-    /// Nothing now.
+    /// Nothing is due.
     Nothing,
-    /// Ask all members what they hold.
+    /// Send the query to all members.
     Query,
-    /// Ask this member for its copy.
+    /// Request this member's copy.
     Fetch(SocketAddrV4),
-    /// Ask the voters for their votes.
+    /// Send the vote request to all voters.
     RequestVotes(VoterSet),
-    /// A majority has voted for it: begin the new history.
+    /// A majority has granted its vote: begin the new history.
     Done(VoterSet),
-    /// Give up.
+    /// The bootstrap failed.
     Failed(ConsensusError),
 }
 
-/// What a voter answered to the query.
+/// A voter's answer to the query.
 #[derive(Debug)]
 struct VoterStatus {
-    /// The start of its process.
+    /// The start number of its process.
     start: u64,
-    /// The last bootstrap that it voted for or knows.
+    /// The highest bootstrap ID that it voted for or knows.
     last_known: u64,
 }
 
-/// Where a copy of the log is.
+/// The newest known copy of the log.
 #[derive(Debug)]
 struct CopyLocation {
     position: Position,
@@ -62,17 +62,18 @@
 /// A bootstrap in progress.
 #[derive(Debug)]
 pub(crate) struct Bootstrap {
-    /// Tells this bootstrap's messages from others'.
+    /// Distinguishes this bootstrap's messages from those of others.
     pub nonce: u64,
     stage: Stage,
     stage_began: Time,
-    last_asked: Option<Time>,
+    last_request: Option<Time>,
     /// The voters' answers, by voter index.
-    voters: BTreeMap<usize, VoterStatus>,
+    statuses: BTreeMap<usize, VoterStatus>,
     newest: CopyLocation,
+    /// The leader that any member reports.
     leader: Option<u8>,
     granted: BTreeSet<usize>,
-    refused: BTreeSet<usize>,
+    rejected: BTreeSet<usize>,
 }
 
 impl Bootstrap {
@@ -82,12 +83,12 @@
             nonce,
             stage: Stage::Gather,
             stage_began: now,
-            last_asked: None,
-            voters: BTreeMap::new(),
+            last_request: None,
+            statuses: BTreeMap::new(),
             newest: CopyLocation { position: own, holder: address },
             leader: None,
             granted: BTreeSet::new(),
-            refused: BTreeSet::new(),
+            rejected: BTreeSet::new(),
         }
     }
 
@@ -98,7 +99,7 @@
         }
         if let Some(voter) = voter {
             let last_known = status.last_vote.max(status.position.bootstrap_id);
-            self.voters.insert(voter, VoterStatus { start: from.start, last_known });
+            self.statuses.insert(voter, VoterStatus { start: from.start, last_known });
         }
         if status.position.beyond(self.newest.position) {
             self.newest = CopyLocation { position: status.position, holder: from.address() };
@@ -109,28 +110,28 @@
     /// Handles a voter's vote.
     pub fn handle_vote(&mut self, voter: usize, start: u64, vote: &BootstrapVote) {
         if let Stage::Vote(voters) = &self.stage
-            && voters.epoch.bootstrap_id == vote.bootstrap
+            && voters.epoch.bootstrap_id == vote.bootstrap_id
             && voters.starts.get(voter) == Some(&start)
         {
-            let votes = if vote.granted { &mut self.granted } else { &mut self.refused };
+            let votes = if vote.granted { &mut self.granted } else { &mut self.rejected };
             votes.insert(voter);
         }
     }
 
     /// The next step.
     pub fn step(&mut self, config: &Config, now: Time, own: Position) -> Step {
-        let ask = self.last_asked.is_none_or(|asked| asked + ASK_INTERVAL <= now);
-        if ask {
-            self.last_asked = Some(now);
+        let resend = self.last_request.is_none_or(|requested| requested + RESEND_INTERVAL <= now);
+        if resend {
+            self.last_request = Some(now);
         }
         match &self.stage {
-            Stage::Gather if now < self.stage_began + GATHER_TIMEOUT => step_if(ask, || Step::Query),
+            Stage::Gather if now < self.stage_began + GATHER_TIMEOUT => step_if(resend, || Step::Query),
             Stage::Gather => self.finish_gathering(config, now),
             Stage::Fetch if self.newest.position.beyond(own) => {
                 if now >= self.stage_began + FETCH_TIMEOUT {
                     return Step::Failed(ConsensusError::CopyNotReached(self.newest.position.index));
                 }
-                step_if(ask, || Step::Fetch(self.newest.holder))
+                step_if(resend, || Step::Fetch(self.newest.holder))
             }
             Stage::Fetch => {
                 let voters = self.new_voters(config, own);
@@ -141,18 +142,19 @@
                 if self.granted.len() >= config.majority() {
                     return Step::Done(voters.clone());
                 }
-                let lost = self.refused.len() > config.voters.len() - config.majority();
-                if lost || now >= self.stage_began + VOTE_TIMEOUT {
+                let rejected = self.rejected.len() > config.voters.len() - config.majority();
+                if rejected || now >= self.stage_began + VOTE_TIMEOUT {
                     return Step::Failed(ConsensusError::Contested);
                 }
-                step_if(ask, || Step::RequestVotes(voters.clone()))
+                step_if(resend, || Step::RequestVotes(voters.clone()))
             }
         }
     }
 
-    /// Ends the first stage. A bootstrap beside voters that agree would lose what they go on to agree on.
+    /// Ends the query stage. A bootstrap while the voters have a leader would lose the entries that they still
+    /// decide.
     fn finish_gathering(&mut self, config: &Config, now: Time) -> Step {
-        let reached = self.voters.len();
+        let reached = self.statuses.len();
         if reached < config.majority() {
             return Step::Failed(ConsensusError::NoMajority { reached, of: config.voters.len() });
         }
@@ -163,13 +165,13 @@
         Step::Nothing
     }
 
-    /// The voters of the first epoch after this bootstrap, whose number is higher than all that are known.
+    /// The voter set of the first epoch after this bootstrap, whose ID is higher than all known ones.
     fn new_voters(&self, config: &Config, own: Position) -> VoterSet {
-        let known = self.voters.values().map(|voter| voter.last_known).max().unwrap_or(0);
-        let times = (known.max(own.bootstrap_id) >> BOOTSTRAP_RANDOM_BITS) + 1;
+        let known = self.statuses.values().map(|status| status.last_known).max().unwrap_or(0);
+        let count = (known.max(own.bootstrap_id) >> BOOTSTRAP_RANDOM_BITS) + 1;
         let random_bits = self.nonce & ((1 << BOOTSTRAP_RANDOM_BITS) - 1);
-        let bootstrap_id = times << BOOTSTRAP_RANDOM_BITS | random_bits;
-        let start = |voter| self.voters.get(&voter).map_or(0, |status| status.start);
+        let bootstrap_id = count << BOOTSTRAP_RANDOM_BITS | random_bits;
+        let start = |voter| self.statuses.get(&voter).map_or(0, |status| status.start);
         let starts = (0..config.voters.len()).map(start).collect();
         VoterSet { epoch: Epoch { bootstrap_id, number: 0 }, starts }
     }
@@ -177,7 +179,7 @@
     fn enter(&mut self, now: Time, stage: Stage) {
         self.stage = stage;
         self.stage_began = now;
-        self.last_asked = None;
+        self.last_request = None;
     }
 }
 
--- a/crates/consensus/src/chain.rs
+++ b/crates/consensus/src/chain.rs
@@ -1,36 +1,37 @@
-//! The chain of agreed entries, each tied to the one before by a checksum, and snapshots at fixed positions.
+//! The chain of decided entries. Each entry has a checksum that covers all entries before it.
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// An epoch. Those of a later bootstrap are later, whatever their number.
+/// An epoch. Every epoch of a later bootstrap is later, whatever its number.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch {
-    /// The bootstrap's number: how often the log was bootstrapped ([`Epoch::bootstrap_count`]), and random bits. 0: never.
+    /// The ID of the bootstrap: the number of bootstraps so far ([`Epoch::bootstrap_count`]) above random bits; 0 if
+    /// there was none.
     pub bootstrap_id: u64,
-    /// The number of epochs since then.
+    /// The number of epochs since the bootstrap.
     pub number: u32,
 }
 
-/// The low bits of a bootstrap number are random. Without them two members could use one number, if a voter forgets
-/// between them which of the two it voted for.
+/// The low bits of a bootstrap ID are random. Without them, two members could use the same ID, and a voter that
+/// restarts in between could vote for both.
 pub(crate) const BOOTSTRAP_RANDOM_BITS: u32 = 20;
 
 impl Epoch {
-    /// How often the log was bootstrapped.
+    /// The number of bootstraps of the log so far.
     pub fn bootstrap_count(self) -> u64 {
         self.bootstrap_id >> BOOTSTRAP_RANDOM_BITS
     }
 }
 
-/// The voters of an epoch: for each configured voter the start of the process that may vote, 0 for none.
+/// The voters of an epoch: for each configured voter, the start number of the process that may vote, or 0 for none.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoterSet {
     /// The epoch.
     pub epoch: Epoch,
-    /// The starts of the voters' processes, by voter index.
+    /// The start numbers of the voters' processes, by voter index.
     pub starts: Vec<u64>,
 }
 
@@ -52,12 +53,12 @@
         }
     }
 
-    /// The checksum of this entry at an index, after entries with the checksum `before`.
+    /// The chain's checksum up to this entry at `index`; `before` is the checksum up to the entry before it.
     fn sum(&self, before: u64, index: u64) -> u64 {
         let seed = before ^ index.rotate_left(32);
         match self {
             Entry::Command(bytes) => xxh3_64_with_seed(bytes, seed),
-            // Our own types always serialize.
+            // Serializing a voter set cannot fail.
             Entry::Voters(voters) => {
                 xxh3_64_with_seed(&postcard::to_stdvec(voters).unwrap_or_default(), !seed)
             }
@@ -66,24 +67,24 @@
 }
 
 impl Position {
-    /// Whether it is further on than another position.
+    /// Whether this position is further on than `other`.
     pub fn beyond(self, other: Position) -> bool {
         (self.bootstrap_id, self.index) > (other.bootstrap_id, other.index)
     }
 }
 
-/// A position in the log. No replica goes back to an older one.
+/// A position in the log. A replica never goes back to an earlier one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Position {
-    /// The bootstrap that the log's current history began with.
+    /// The ID of the bootstrap that began the log's current history.
     pub bootstrap_id: u64,
-    /// The index; entries count from 1.
+    /// The index of the last entry; the first entry has index 1.
     pub index: u64,
-    /// The checksum of all entries up to it.
+    /// The checksum of all entries up to this index.
     pub sum: u64,
 }
 
-/// The encoded state after all entries up to a position.
+/// The encoded state after all entries up to a position, with its digest.
 #[derive(Debug, Clone)]
 pub(crate) struct Snapshot {
     pub position: Position,
@@ -91,31 +92,31 @@
     pub bytes: Rc<[u8]>,
 }
 
-/// This many entries before the last snapshot are kept for replicas that are a little behind.
+/// Number of entries before the last snapshot that are kept for replicas that lag a little.
 const ENTRIES_BEFORE_SNAPSHOT: u64 = 128;
-/// Snapshots are taken at multiples of this, so that they are equal everywhere.
+/// Snapshots are taken at multiples of this index, so that they are equal on all replicas.
 pub(crate) const SNAPSHOT_INTERVAL: u64 = 64;
 
-/// An entry and the checksum of all entries up to it.
+/// An entry and the chain's checksum up to it.
 #[derive(Debug)]
 struct ChainedEntry {
     sum: u64,
     entry: Entry,
 }
 
-/// The entries that are kept.
+/// The most recent entries of the log, with their checksums.
 #[derive(Debug, Default)]
 pub(crate) struct Chain {
     last: Position,
-    /// The index before the first entry that is kept.
+    /// The index before the first kept entry.
     base_index: u64,
-    /// The checksum at that index.
+    /// The checksum up to `base_index`.
     base_sum: u64,
     entries: VecDeque<ChainedEntry>,
 }
 
 impl Chain {
-    /// A chain that begins after a snapshot.
+    /// A chain without entries that continues after a snapshot.
     pub fn after_snapshot(position: Position) -> Chain {
         let (base_index, base_sum) = (position.index, position.sum);
         Chain { last: position, base_index, base_sum, entries: VecDeque::new() }
@@ -138,7 +139,7 @@
         self.entries.push_back(ChainedEntry { sum, entry });
     }
 
-    /// Drops entries that are far behind.
+    /// Drops the oldest entries beyond the number to keep.
     pub fn trim(&mut self) {
         while self.entries.len() as u64 > ENTRIES_BEFORE_SNAPSHOT + SNAPSHOT_INTERVAL
             && let Some(dropped) = self.entries.pop_front()
@@ -148,7 +149,7 @@
         }
     }
 
-    /// The checksum at an index, if it is still kept.
+    /// The checksum up to an index, if it is still kept.
     pub fn sum_at(&self, index: u64) -> Option<u64> {
         if index == self.base_index {
             return Some(self.base_sum);
@@ -166,13 +167,13 @@
         self.entries.get(offset as usize)
     }
 
-    /// The entries after an index: at most `most` bytes of them, but one at least.
-    pub fn after(&self, index: u64, most: usize) -> Vec<Entry> {
+    /// The entries after an index: at most `max_size` bytes of them, but at least one entry.
+    pub fn after(&self, index: u64, max_size: usize) -> Vec<Entry> {
         let from = index.saturating_sub(self.base_index) as usize;
-        let mut room = most;
+        let mut remaining = max_size;
         let fits = |entry: &&Entry| {
-            let fits = entry.size() <= room || room == most;
-            room = room.saturating_sub(entry.size());
+            let fits = entry.size() <= remaining || remaining == max_size;
+            remaining = remaining.saturating_sub(entry.size());
             fits
         };
         let entries = self.entries.iter().skip(from).map(|chained| &chained.entry);
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -4,21 +4,21 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time on the sidecar's own clock, since its start.
+/// The driver's monotonic clock, counted from an origin of its choice.
 pub type Time = Duration;
 
-/// Switches for parts of the protocol. All are on in service; fault injection in tests turns one off.
+/// Switches for parts of the protocol. All are on in production; tests turn one off to inject a defect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Features {
-    /// A voter that lost its memory has no vote until it is admitted again.
+    /// A voter that has restarted, and so lost its promises, has no vote until the leader readmits it.
     pub readmission: bool,
-    /// Only decided entries are applied.
+    /// Only decided entries are applied, none that are merely accepted.
     pub decided_only: bool,
-    /// Entries are accepted only if the entry before them is the same.
+    /// Entries of another member are accepted only if the checksum before them matches the local one.
     pub verify_checksums: bool,
-    /// A voter votes for one bootstrap at a time.
+    /// A voter votes for only one bootstrap at a time.
     pub single_vote: bool,
-    /// A replica never goes back to an older position.
+    /// A replica never goes back to an earlier position.
     pub monotonic_position: bool,
 }
 
@@ -37,24 +37,24 @@
 /// A replica's configuration.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// A digest of the fleet's name and the voters; messages with another are refused.
+    /// A digest of the fleet's name and the voters; messages with another digest are rejected.
     pub digest: u64,
-    /// The local member's address, as others reach it.
+    /// The address at which other members reach the local one.
     pub address: SocketAddrV4,
-    /// The voters: three, five or seven addresses.
+    /// The addresses of the voters: three, five or seven.
     pub voters: Vec<SocketAddrV4>,
-    /// The interval of the agreement's logical clock.
+    /// The tick interval of the `omnipaxos` instance.
     pub tick_interval: Duration,
-    /// The interval at which it tells another member its position.
+    /// The mean interval at which the local member sends its position to another.
     pub gossip_interval: Duration,
-    /// An epoch ends after this many commands.
+    /// The number of entries after which an epoch ends.
     pub max_epoch_entries: usize,
     /// Which parts of the protocol are on.
     pub features: Features,
 }
 
 impl Config {
-    /// A configuration with default times.
+    /// A configuration with default intervals.
     pub fn new(fleet: &str, address: SocketAddrV4, voters: Vec<SocketAddrV4>) -> Config {
         let named = voters.iter().fold(fleet.to_owned(), |all, voter| format!("{all}|{voter}"));
         Config {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Checks the configuration; an error names the field and the reason.
+    /// Checks the configuration; an error names the settings key and the reason.
     pub fn check(&self) -> Result<(), (&'static str, String)> {
         let n = self.voters.len();
         if ![3, 5, 7].contains(&n) {
@@ -88,7 +88,7 @@
         self.voters.iter().position(|voter| *voter == self.address)
     }
 
-    /// The number of voters that make a majority.
+    /// The number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -1,18 +1,18 @@
-//! Errors of the log, with a code and a remedy for operators.
+//! Errors of the log, each with a code and a remedy for operators.
 
 use std::time::Duration;
 use thiserror::Error;
 
-/// An error of the log. Codes and texts are part of the operators' interface.
+/// An error of the log. Its code, text and remedy are part of the operators' HTTP interface and must not change.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConsensusError {
     /// The log was never bootstrapped, as far as is known.
     #[error("this fleet's plan was never founded, or every copy of it is lost")]
     NotBootstrapped,
-    /// It is not known whether the command was agreed on.
+    /// There was no answer in time, so it is not known whether the command was decided.
     #[error("no answer within {0:?}: the word may have been taken or not")]
     Unknown(Duration),
-    /// Too few voters answer.
+    /// Fewer voters than a majority answer.
     #[error("{reached} of {of} keepers answer, a majority is needed")]
     NoMajority {
         /// The number of voters that answer.
@@ -20,35 +20,35 @@
         /// The number of voters.
         of: usize,
     },
-    /// A bootstrap was requested while the voters have a leader, whose index this is.
+    /// A bootstrap was requested although the voters have a leader; holds the leader's index.
     #[error(
         "the keepers agree with one another, led by place {0}: nothing is lost that a founding could mend"
     )]
     HasLeader(usize),
-    /// Another bootstrap took the votes.
+    /// The voters granted their votes to another bootstrap, or to none in time.
     #[error("another founding has taken the keepers' voices")]
     Contested,
-    /// The newest copy, at this index, could not be fetched.
+    /// The newest copy could not be fetched in time; holds the index of its last entry.
     #[error("the newest copy, at place {0} of the log, could not be fetched in time")]
     CopyNotReached(u64),
-    /// A bootstrap of the local member is still running.
+    /// The local member is already running a bootstrap.
     #[error("a founding is under way at this door")]
     BootstrapInProgress,
     /// The command is too long.
     #[error("the word has {length} bytes, {max} at most")]
     TooLong {
-        /// Its length in bytes.
+        /// The command's length in bytes.
         length: usize,
-        /// The longest allowed, in bytes.
+        /// The maximum length in bytes.
         max: usize,
     },
-    /// Too many proposals wait for agreement.
+    /// Too many proposals of the local member are pending; holds their maximum number.
     #[error("{0} words of this door are not answered yet")]
     TooManyProposals(usize),
 }
 
 impl ConsensusError {
-    /// The code, which never changes.
+    /// The code. Codes never change, so that tools can match them.
     pub fn code(&self) -> &'static str {
         match self {
             ConsensusError::NotBootstrapped => "log.not-founded",
@@ -63,7 +63,7 @@
         }
     }
 
-    /// What the operator can do.
+    /// What the operator can do about it.
     pub fn remedy(&self) -> &'static str {
         match self {
             ConsensusError::NotBootstrapped => {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// One error of each kind, to list the codes.
+    /// One error of each kind, for lists of all codes.
     pub fn all() -> Vec<ConsensusError> {
         vec![
             ConsensusError::NotBootstrapped,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,9 +1,9 @@
-//! A replicated log for a fleet: a few voters agree on the order of commands, and all other members learn it.
+//! A replicated log for a fleet: a few voters decide the order of commands, and all other members learn it.
 //!
-//! The package does no I/O and reads no clock. [`Log`] is one member's replica: it holds the agreed entries and the state
-//! machine that applies them, passes both on to others, and takes part in the agreement if the member is a voter. The
-//! agreement itself is the library `omnipaxos`, with one instance for each epoch; `docs/design/plan.md` describes why, and
-//! what is added to it here.
+//! The package does no I/O and reads no clock. [`Log`] is one member's replica: it holds the decided entries and the
+//! state machine that applies them, passes both on to other members, and votes if the member is a voter. The
+//! consensus protocol itself is the library `omnipaxos`, with one instance for each epoch; `docs/design/plan.md`
+//! describes why, and what this package adds to it.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -2,14 +2,14 @@
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `state_machine` | what applies the commands |
+//! | `state_machine` | the interface of the replicated state machine |
 //! | `status` | the replica's position and counters, for operators |
-//! | `proposals` | commands of the local member that wait for agreement |
-//! | `voting` | the local voter's part in the agreement, and the voters of each epoch |
+//! | `proposals` | pending commands of the local member |
+//! | `voting` | the local voter, and the voter set of each epoch |
 //! | `replication` | positions and entries between members |
-//! | `snapshots` | snapshots, in chunks |
-//! | `bootstrapping` | bootstraps, started here or voted on |
-//! | `out_of_band` | data of the log's user outside the log |
+//! | `snapshots` | snapshots, and their transfer in chunks |
+//! | `bootstrapping` | the local member's bootstrap, and its votes on those of others |
+//! | `out_of_band` | unreliable messages of the log's user |
 //! | `inbound` | received messages |
 
 mod bootstrapping;
@@ -40,16 +40,16 @@
 /// Another member that this one may exchange entries with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Peer {
-    /// Its address.
+    /// The peer's address.
     pub address: SocketAddrV4,
-    /// Whether it is near, and so preferred.
+    /// Whether the peer is near, and so preferred.
     pub near: bool,
 }
 
 /// One member's replica of the log.
 pub struct Log<M> {
     config: Config,
-    /// The start of this process; higher than that of every earlier process at this address.
+    /// The start number of this process; higher than that of every earlier process at this address.
     start: u64,
     machine: M,
     chain: Chain,
@@ -58,16 +58,16 @@
     voters_index: u64,
     snapshot: Option<Snapshot>,
     voter: Option<Voter>,
-    /// The last bootstrap that it voted for or knows.
+    /// The highest bootstrap ID that the local member voted for or knows.
     last_vote: u64,
-    /// When it last voted.
+    /// When the local voter last granted a vote.
     voted_at: Option<Time>,
     bootstrap: Option<Bootstrap>,
     bootstrap_result: Option<Result<Position, ConsensusError>>,
     transfer: Option<SnapshotTransfer>,
-    /// Voters by index, as last heard of: those that restarted may be admitted again.
+    /// The voters' last reported processes, by voter index; those that restarted may be readmitted.
     applicants: BTreeMap<usize, Applicant>,
-    /// The leader proposes no end of an epoch before this.
+    /// The earliest time at which the leader may propose the end of an epoch.
     next_epoch_change: Time,
     peers: Vec<Peer>,
     proposals: Vec<Proposal>,
@@ -82,7 +82,7 @@
 }
 
 impl<M: StateMachine> Log<M> {
-    /// An empty replica. `start` must be higher than that of every earlier process at this address.
+    /// An empty replica. The start number must be higher than that of every earlier process at this address.
     pub fn new(config: Config, now: Time, start: u64, seed: u64) -> Log<M> {
         let mut rng = fastrand::Rng::with_seed(seed);
         let next_gossip = now + config.gossip_interval.mul_f64(rng.f64());
@@ -126,12 +126,12 @@
 
     /// When [`Log::tick`] is due.
     pub fn next_at(&self) -> Time {
-        let agreeing = self.voter.is_some() || self.bootstrap.is_some();
-        let busy = agreeing || !self.proposals.is_empty() || self.transfer.is_some();
+        let in_consensus = self.voter.is_some() || self.bootstrap.is_some();
+        let busy = in_consensus || !self.proposals.is_empty() || self.transfer.is_some();
         if busy { self.next_tick.min(self.next_gossip) } else { self.next_gossip }
     }
 
-    /// Carries out what is due.
+    /// Carries out all actions that are due.
     pub fn tick(&mut self, now: Time) {
         if now >= self.next_tick {
             self.next_tick = now + self.config.tick_interval;
@@ -142,7 +142,7 @@
             self.continue_bootstrap(now);
             self.repeat_proposals(now);
             self.continue_transfer(now);
-            self.apply_agreed(now);
+            self.apply_decided(now);
         }
         if now >= self.next_gossip {
             self.next_gossip = now + self.config.gossip_interval.mul_f64(0.75 + 0.5 * self.rng.f64());
@@ -157,7 +157,7 @@
         self.outgoing.push_back((to, bytes));
     }
 
-    /// Sends a message to several members; the local one, if among them, handles it at once.
+    /// Sends a message to several members; the local member, if it is among them, handles it at once.
     fn send_all(&mut self, now: Time, receivers: Vec<SocketAddrV4>, body: &Body) {
         for receiver in receivers {
             if receiver == self.config.address {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Checks what must hold after each step.
+    /// Checks the invariants that must hold after each step.
     fn check_invariants(&mut self) {
         let position = self.position();
         let holds = position.bootstrap_id == self.voters.epoch.bootstrap_id
@@ -178,7 +178,7 @@
         self.counters.invariant_violations += u64::from(!holds);
         debug_assert!(
             holds,
-            "bootstrap {} voters {:?} at {}",
+            "invariant violated at bootstrap {}: voters {:?} named at index {}",
             position.bootstrap_id, self.voters, self.voters_index
         );
     }
--- a/crates/consensus/src/log/bootstrapping.rs
+++ b/crates/consensus/src/log/bootstrapping.rs
@@ -1,4 +1,4 @@
-//! Bootstraps: those that the local member runs, and its vote on those of others.
+//! Bootstraps: the one that the local member runs, and its votes on those of others.
 
 use super::{Log, StateMachine};
 use crate::bootstrap::{Bootstrap, Step};
@@ -9,11 +9,12 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A vote is held for this long: by then the bootstrap's voters agree, or it has failed.
+/// For this long after a vote, the voter grants no other. By then the bootstrap's voters have a leader, or it has
+/// failed.
 const VOTE_HOLD: Duration = Duration::from_secs(3);
 
 impl<M: StateMachine> Log<M> {
-    /// Starts a bootstrap; [`Log::bootstrap_result`] returns its result.
+    /// Starts a bootstrap; [`Log::bootstrap_result`] returns its result later.
     pub fn bootstrap(&mut self, now: Time) -> Result<(), ConsensusError> {
         if self.bootstrap.is_some() {
             return Err(ConsensusError::BootstrapInProgress);
@@ -25,12 +26,12 @@
         Ok(())
     }
 
-    /// Takes the result of the last bootstrap, once it is there.
+    /// Takes the result of the last bootstrap once it has ended.
     pub fn bootstrap_result(&mut self) -> Option<Result<Position, ConsensusError>> {
         self.bootstrap_result.take()
     }
 
-    /// Carries out the next step of the bootstrap, if one is running.
+    /// Carries out the next step of the local member's bootstrap, if one is running.
     pub(super) fn continue_bootstrap(&mut self, now: Time) {
         let position = self.position();
         let Some(bootstrap) = &mut self.bootstrap else { return };
@@ -67,14 +68,14 @@
         members
     }
 
-    /// Answers a bootstrap query.
+    /// Answers the query of a bootstrap.
     pub(super) fn handle_bootstrap_query(&mut self, now: Time, from: SocketAddrV4, nonce: u64) {
         let leader = self.leader(now).map(|index| index as u8);
         let status = BootstrapStatus { nonce, position: self.position(), leader, last_vote: self.last_vote };
         self.send_all(now, vec![from], &Body::BootstrapStatus(status));
     }
 
-    /// Votes on a bootstrap that would begin with these voters.
+    /// Votes on a bootstrap that would begin with this voter set.
     pub(super) fn handle_vote_request(
         &mut self,
         now: Time,
@@ -82,29 +83,31 @@
         nonce: u64,
         voters: &VoterSet,
     ) {
-        let bootstrap = voters.epoch.bootstrap_id;
+        let bootstrap_id = voters.epoch.bootstrap_id;
         let granted = self.grant_vote(now, voters);
-        let vote = BootstrapVote { nonce, bootstrap, granted };
+        let vote = BootstrapVote { nonce, bootstrap_id, granted };
         self.send_all(now, vec![from], &Body::BootstrapVote(vote));
     }
 
-    /// Grants at most one bootstrap a vote; from then on the local voter takes no part in the former history.
+    /// Decides on a vote; only one bootstrap at a time is granted it. A voter that grants its vote stops taking part
+    /// in the current history.
     fn grant_vote(&mut self, now: Time, voters: &VoterSet) -> bool {
         let Some(index) = self.config.voter_index() else { return false };
-        let bootstrap = voters.epoch.bootstrap_id;
-        let times = |bootstrap: u64| bootstrap >> BOOTSTRAP_RANDOM_BITS;
-        let repeated = bootstrap == self.last_vote && self.position().bootstrap_id < bootstrap;
-        let newer = times(bootstrap) > times(self.last_vote) || !self.config.features.single_vote;
+        let bootstrap_id = voters.epoch.bootstrap_id;
+        let count = |bootstrap_id: u64| bootstrap_id >> BOOTSTRAP_RANDOM_BITS;
+        let repeated = bootstrap_id == self.last_vote && self.position().bootstrap_id < bootstrap_id;
+        let newer = count(bootstrap_id) > count(self.last_vote) || !self.config.features.single_vote;
         if voters.starts.get(index) != Some(&self.start) || !(repeated || newer) {
             return false;
         }
-        // A bootstrap right after another, or beside voters that agree, would lose their commands.
+        // A bootstrap right after another one, or while the voters have a leader, would lose the commands decided
+        // meanwhile.
         let held = self.voted_at.is_some_and(|at| now < at + VOTE_HOLD) || self.leader(now).is_some();
         if !repeated && held && self.config.features.single_vote {
             return false;
         }
         self.voted_at = Some(now);
-        self.last_vote = bootstrap;
+        self.last_vote = bootstrap_id;
         self.voter = None;
         true
     }
--- a/crates/consensus/src/log/inbound.rs
+++ b/crates/consensus/src/log/inbound.rs
@@ -1,4 +1,4 @@
-//! Received messages: decoding, and dispatch by content.
+//! Received messages: decoding, and dispatch by kind.
 
 use super::voting::Applicant;
 use super::{Log, StateMachine};
@@ -6,7 +6,7 @@
 use crate::config::Time;
 use crate::message::{Body, DecodeError, Sender, decode};
 use crate::storage::EncodedEntry;
-use omnipaxos::messages::Message as Agreement;
+use omnipaxos::messages::Message as OmniPaxosMessage;
 
 impl<M: StateMachine> Log<M> {
     /// Handles a received message.
@@ -24,8 +24,8 @@
         let from = sender.address();
         let voter = self.config.voters.iter().position(|address| *address == from);
         match body {
-            Body::Agreement { epoch, count, message } => {
-                self.handle_agreement(now, sender, Numbered { epoch, count, message });
+            Body::OmniPaxos { epoch, count, message } => {
+                self.handle_omnipaxos(now, sender, CountedMessage { epoch, count, message });
             }
             Body::Propose(command) => self.handle_proposal(now, &command),
             Body::Position { position, wants } => {
@@ -58,27 +58,27 @@
         }
     }
 
-    /// Handles a message of the agreement. One of another epoch shows that either side lacks entries.
-    fn handle_agreement(&mut self, now: Time, sender: Sender, numbered: Numbered) {
+    /// Handles an `omnipaxos` message. One of another epoch shows that the sender or the local member lacks entries.
+    fn handle_omnipaxos(&mut self, now: Time, sender: Sender, counted: CountedMessage) {
         let from = sender.address();
         let Some(index) = self.config.voters.iter().position(|address| *address == from) else { return };
         match &mut self.voter {
-            Some(voter) if voter.epoch == numbered.epoch => {
+            Some(voter) if voter.epoch == counted.epoch => {
                 if self.config.features.readmission && voter.starts[index] != sender.start {
                     return;
                 }
-                voter.receive(now, index, numbered.count, numbered.message);
-                self.apply_agreed(now);
+                voter.receive(now, index, counted.count, counted.message);
+                self.apply_decided(now);
             }
-            _ if numbered.epoch != self.voters.epoch => self.send_position(from, true),
+            _ if counted.epoch != self.voters.epoch => self.send_position(from, true),
             _ => {}
         }
     }
 }
 
-/// A message of the agreement, with its epoch and its count.
-struct Numbered {
+/// An `omnipaxos` message with its epoch and its count.
+struct CountedMessage {
     epoch: Epoch,
     count: u64,
-    message: Agreement<EncodedEntry>,
+    message: OmniPaxosMessage<EncodedEntry>,
 }
--- a/crates/consensus/src/log/out_of_band.rs
+++ b/crates/consensus/src/log/out_of_band.rs
@@ -1,13 +1,14 @@
-//! Out-of-band messages: data of the log's user that is sent to all voters outside the log, and may be lost.
+//! Out-of-band messages: data of the log's user that is sent to all voters without being logged, and may be lost.
 
 use super::{Log, StateMachine};
 use crate::message::Body;
 use std::net::SocketAddrV4;
 
-/// The most received messages that wait to be taken. Further ones are dropped, so that a flood does not fill the memory.
-const MAX_WAITING: usize = 4096;
+/// Maximum number of received messages that wait to be taken. Further ones are dropped, so that a flood does not fill
+/// the memory.
+const MAX_QUEUED: usize = 4096;
 
-/// The sender and the data.
+/// A received message: its sender and its data.
 pub(super) type OutOfBandMessage = (SocketAddrV4, Vec<u8>);
 
 impl<M: StateMachine> Log<M> {
@@ -18,14 +19,14 @@
         }
     }
 
-    /// Takes the next received message: the sender and the data.
+    /// Takes the next received message: its sender and its data.
     pub fn take_out_of_band(&mut self) -> Option<(SocketAddrV4, Vec<u8>)> {
         self.out_of_band.pop_front()
     }
 
-    /// Keeps a received message for the log's user.
+    /// Queues a received message for the log's user.
     pub(super) fn handle_out_of_band(&mut self, from: SocketAddrV4, bytes: Vec<u8>) {
-        if self.out_of_band.len() < MAX_WAITING {
+        if self.out_of_band.len() < MAX_QUEUED {
             self.out_of_band.push_back((from, bytes));
         }
     }
--- a/crates/consensus/src/log/proposals.rs
+++ b/crates/consensus/src/log/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals: commands of the local member, repeated until they are agreed on or expire.
+//! Proposals: commands of the local member, repeated until they are decided or expire.
 
 use super::{Log, StateMachine};
 use crate::config::Time;
@@ -7,24 +7,24 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The most proposals that wait for agreement.
+/// Maximum number of pending proposals.
 pub(super) const MAX_PROPOSALS: usize = 64;
-/// A proposal is repeated, to another voter, at this interval.
+/// Interval at which a proposal is repeated, each time to the next voter.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// A command that waits for agreement.
+/// A command that is not yet known to be decided.
 #[derive(Debug)]
 pub(super) struct Proposal {
     pub command: Vec<u8>,
     next_attempt: Time,
     expires: Time,
-    /// Which voter to send it to next, modulo the number of voters.
-    turn: usize,
+    /// The index of the voter to send it to next, modulo the number of voters.
+    next_voter: usize,
 }
 
 impl<M: StateMachine> Log<M> {
-    /// Proposes a command, and repeats it until it is agreed on or `until` has passed.
-    pub fn propose(&mut self, now: Time, command: Vec<u8>, until: Time) -> Result<(), ConsensusError> {
+    /// Proposes a command, and repeats the proposal until the command is decided or the proposal expires.
+    pub fn propose(&mut self, now: Time, command: Vec<u8>, expires: Time) -> Result<(), ConsensusError> {
         if command.len() > MAX_COMMAND {
             return Err(ConsensusError::TooLong { length: command.len(), max: MAX_COMMAND });
         }
@@ -35,15 +35,15 @@
             return Err(ConsensusError::NotBootstrapped);
         }
         if !self.proposals.iter().any(|proposal| proposal.command == command) {
-            let turn = self.rng.usize(..self.config.voters.len());
-            self.proposals.push(Proposal { command, next_attempt: now, expires: until, turn });
+            let next_voter = self.rng.usize(..self.config.voters.len());
+            self.proposals.push(Proposal { command, next_attempt: now, expires, next_voter });
         }
         self.next_tick = now;
         Ok(())
     }
 
-    /// Repeats the proposals that are due, and drops those that have expired. A voter that knows a leader proposes itself;
-    /// otherwise voters are asked in turn.
+    /// Repeats the proposals that are due, and drops those that have expired. A voter that knows a leader proposes
+    /// the command itself; otherwise the voters are asked to, in turn.
     pub(super) fn repeat_proposals(&mut self, now: Time) {
         self.proposals.retain(|proposal| proposal.expires > now);
         let mut outgoing = Vec::new();
@@ -52,7 +52,7 @@
             match self.voter.as_mut().filter(|voter| voter.leader(now).is_some()) {
                 Some(voter) => voter.propose(now, &proposal.command),
                 None => {
-                    let to = proposal.next_voter(&self.config.voters, self.config.address);
+                    let to = proposal.take_next_voter(&self.config.voters, self.config.address);
                     outgoing.push((to, Body::Propose(proposal.command.clone())));
                 }
             }
@@ -62,24 +62,24 @@
         }
     }
 
-    /// Handles another member's proposal. A command that is proposed twice is agreed on twice and takes effect once: the state
-    /// machine sees to that.
+    /// Handles another member's proposal. A command that is proposed twice may be decided twice; the state machine
+    /// must apply it only once.
     pub(super) fn handle_proposal(&mut self, now: Time, command: &[u8]) {
         if command.len() > MAX_COMMAND {
             return;
         }
         if let Some(voter) = &mut self.voter {
             voter.propose(now, command);
-            self.apply_agreed(now);
+            self.apply_decided(now);
         }
     }
 }
 
 impl Proposal {
-    /// The voter to send it to now: the next one in turn, but not the local member.
-    fn next_voter(&mut self, voters: &[SocketAddrV4], own: SocketAddrV4) -> SocketAddrV4 {
-        let voter = voters[self.turn % voters.len()];
-        self.turn += 1;
-        if voter == own { voters[self.turn % voters.len()] } else { voter }
+    /// The voter to send the proposal to now: the next one in turn, skipping the local member.
+    fn take_next_voter(&mut self, voters: &[SocketAddrV4], own: SocketAddrV4) -> SocketAddrV4 {
+        let voter = voters[self.next_voter % voters.len()];
+        self.next_voter += 1;
+        if voter == own { voters[self.next_voter % voters.len()] } else { voter }
     }
 }
--- a/crates/consensus/src/log/replication.rs
+++ b/crates/consensus/src/log/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: members tell one another their positions, and pass on the entries that the other lacks.
+//! Replication: members send one another their positions, and the entries that the other one lacks.
 
 use super::{Log, StateMachine};
 use crate::chain::{Chain, Entry, Position, SNAPSHOT_INTERVAL, VoterSet};
@@ -7,11 +7,11 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// New entries are passed on to this many members at once.
+/// Number of members to which new entries are passed on at once.
 const ENTRY_FANOUT: usize = 3;
-/// The most bytes of entries in one message.
+/// Maximum size of the entries in one message, in bytes.
 pub(super) const MAX_BATCH_SIZE: usize = 32 << 10;
-/// The shortest time between two requests for entries.
+/// Minimum interval between two requests for entries.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The entries of a batch that are new to the chain.
@@ -19,16 +19,16 @@
     entries: Vec<Entry>,
 }
 
-/// A batch differs from the chain at an index that both hold.
+/// A batch and the chain hold different entries at one index.
 struct Conflict {
     index: u64,
-    /// Two bootstraps may begin at one index; that is no fault.
+    /// One of the entries begins a bootstrap's history. That is no error: two bootstraps may begin at the same index.
     between_bootstraps: bool,
 }
 
 impl<M: StateMachine> Log<M> {
-    /// Tells a random member the local position. A voter without a vote tells all voters: only the leader can admit it, and
-    /// must know of it.
+    /// Sends the local position to a random member. A voter without a vote sends it to all voters, because the
+    /// leader, which alone can readmit it, must learn of it.
     pub(super) fn gossip_position(&mut self) {
         if let Some(peer) = self.random_peer() {
             self.send_position(peer, true);
@@ -41,12 +41,13 @@
         }
     }
 
+    /// Sends a member the local position, and requests the entries after it if `wants` is set.
     pub(super) fn send_position(&mut self, to: SocketAddrV4, wants: bool) {
         let position = self.position();
         self.send(to, &Body::Position { position, wants });
     }
 
-    /// A random other member: a near one three times out of four, and a voter if no member is known yet.
+    /// A random other member: a near one in three of four cases, or a voter if no peer is known yet.
     pub(super) fn random_peer(&mut self) -> Option<SocketAddrV4> {
         let near: Vec<SocketAddrV4> =
             self.peers.iter().filter(|peer| peer.near).map(|peer| peer.address).collect();
@@ -59,7 +60,8 @@
         peer.filter(|address| *address != self.config.address)
     }
 
-    /// Handles another member's position: sends it what it lacks, or asks it for what the local member lacks.
+    /// Handles another member's position: sends it the entries that it lacks, or requests those that the local member
+    /// lacks.
     pub(super) fn handle_position(&mut self, now: Time, from: SocketAddrV4, position: Position, wants: bool) {
         let own = self.position();
         if own.beyond(position) {
@@ -73,7 +75,7 @@
         now >= self.last_request + REQUEST_INTERVAL
     }
 
-    /// Asks a member for entries, by telling it the local position.
+    /// Requests entries from a member, by sending it the local position.
     pub(super) fn request_entries(&mut self, now: Time, from: SocketAddrV4) {
         self.last_request = now;
         self.send_position(from, true);
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Sends a member at `position` the next entries, or a snapshot if they are not kept or its history is another.
+    /// Sends a member at `position` the next entries, or a snapshot if they are no longer kept or its history
+    /// differs.
     fn send_entries_after(&mut self, to: SocketAddrV4, position: Position) {
         let same_history = self.chain.sum_at(position.index) == Some(position.sum)
             && position.bootstrap_id <= self.position().bootstrap_id;
@@ -99,8 +102,8 @@
         }
     }
 
-    /// Handles entries. Where they do not follow the chain, there is a gap or another history; of that only a later bootstrap
-    /// can be taken over, by its snapshot.
+    /// Handles received entries. If they do not follow the chain, there is a gap, or the sender has another history;
+    /// the local member changes over only to the history of a later bootstrap, by its snapshot.
     pub(super) fn handle_entries(&mut self, now: Time, from: SocketAddrV4, batch: EntryBatch) {
         let follows =
             self.chain.sum_at(batch.after) == Some(batch.sum) || !self.config.features.verify_checksums;
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Appends entries, applies them, and passes them on.
+    /// Appends entries, applies them, and passes them on to other members.
     pub(super) fn append(&mut self, now: Time, entries: Vec<Entry>) {
         let from = self.chain.last();
         for entry in entries {
@@ -142,7 +145,7 @@
         self.pass_on_entries_after(from.index);
     }
 
-    /// Applies the last entry of the chain; returns whether it begins a new history.
+    /// Applies the last entry of the chain; returns whether it begins the history of a bootstrap.
     fn apply(&mut self, entry: Entry) -> bool {
         let index = self.chain.last().index;
         match entry {
@@ -175,7 +178,7 @@
     }
 }
 
-/// The entries of a batch behind the end of the chain; an error if the others differ from the chain's.
+/// The entries of a batch after the end of the chain; an error if an earlier one differs from the chain's.
 fn new_entries(chain: &Chain, batch: EntryBatch) -> Result<NewEntries, Conflict> {
     let known = (chain.last().index - batch.after) as usize;
     let mut entries = batch.entries;
@@ -189,7 +192,7 @@
     Ok(NewEntries { entries: new })
 }
 
-/// Whether an entry is the first of a bootstrap's history.
+/// Whether an entry begins the history of a bootstrap.
 fn begins_history(entry: &Entry) -> bool {
     matches!(entry, Entry::Voters(voters) if voters.epoch.number == 0)
 }
--- a/crates/consensus/src/log/snapshots.rs
+++ b/crates/consensus/src/log/snapshots.rs
@@ -9,16 +9,16 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The most bytes of a chunk.
+/// Maximum size of a chunk, in bytes.
 const CHUNK_SIZE: usize = 8 << 10;
-/// The longest snapshot, in bytes.
+/// Maximum size of a snapshot, in bytes.
 const MAX_SNAPSHOT_SIZE: usize = 16 << 20;
-/// A chunk that has not arrived by then is requested from another member.
+/// A chunk that has not arrived within this time is requested again, from another member.
 const CHUNK_TIMEOUT: Duration = Duration::from_millis(400);
 /// A transfer is abandoned after this many chunk timeouts.
 const MAX_CHUNK_TIMEOUTS: u32 = 20;
 
-/// What a snapshot encodes.
+/// The content of an encoded snapshot.
 #[derive(Debug, Serialize, Deserialize)]
 struct SnapshotContent {
     voters: VoterSet,
@@ -60,7 +60,7 @@
         self.received.len() >= self.total
     }
 
-    /// Decodes the received bytes; `None` unless they are whole and match the digest.
+    /// Decodes the received bytes; `None` unless they are complete and match the digest.
     fn decode(&self) -> Option<SnapshotContent> {
         let intact = self.received.len() == self.total && xxh3_64(&self.received) == self.digest;
         intact.then(|| postcard::from_bytes(&self.received).ok()).flatten()
@@ -95,7 +95,8 @@
         self.send(to, &Body::SnapshotChunk(chunk));
     }
 
-    /// Handles the request for a chunk. If the local snapshot is another one, it is sent from its beginning.
+    /// Handles the request for a chunk. If the local snapshot is not the requested one, it is sent from its
+    /// beginning.
     pub(super) fn handle_snapshot_request(&mut self, from: SocketAddrV4, request: &SnapshotRequest) {
         let same = self.snapshot.as_ref().is_some_and(|snapshot| {
             snapshot.position == request.position && snapshot.digest == request.digest
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Installs a received snapshot, whole or not at all.
+    /// Installs a received snapshot. An invalid one leaves the replica unchanged.
     fn install(&mut self, now: Time, from: SocketAddrV4, transfer: SnapshotTransfer) {
         let content = transfer.decode();
         let restored = content.and_then(|content| Some((M::restore(&content.state)?, content)));
@@ -154,7 +155,7 @@
         self.request_entries(now, from);
     }
 
-    /// Requests a late chunk again, or abandons a transfer that takes too long or is no longer needed.
+    /// Requests an overdue chunk again, or abandons a transfer that takes too long or is no longer needed.
     pub(super) fn continue_transfer(&mut self, now: Time) {
         let Some(transfer) = &mut self.transfer else { return };
         let expired = transfer.began + CHUNK_TIMEOUT * MAX_CHUNK_TIMEOUTS < now;
--- a/crates/consensus/src/log/status.rs
+++ b/crates/consensus/src/log/status.rs
@@ -11,14 +11,14 @@
 pub struct Counters {
     /// Messages that could not be decoded.
     pub garbled: u64,
-    /// Messages of another fleet or other voters.
+    /// Messages of another fleet, or of a fleet with other voters.
     pub foreign: u64,
-    /// Broken invariants, such as two entries at one index.
+    /// Violations of invariants, such as different entries at one index.
     #[serde(rename = "broken")]
     pub invariant_violations: u64,
-    /// Snapshots installed.
+    /// Received snapshots that were installed.
     pub snapshots: u64,
-    /// Snapshots received whole that did not match their digest or could not be decoded.
+    /// Received snapshots that did not match their digest or could not be decoded.
     #[serde(rename = "spoilt")]
     pub invalid_snapshots: u64,
     /// Epochs begun.
@@ -28,24 +28,24 @@
 /// The replica's state, for operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct Status {
-    /// How often the log was bootstrapped; 0: never.
+    /// The number of bootstraps of the log; 0 if there was none.
     #[serde(rename = "founded")]
     pub bootstrap_count: u64,
-    /// The epoch since the last bootstrap.
+    /// The number of epochs since the last bootstrap.
     pub epoch: u32,
     /// The index of the last entry.
     pub index: u64,
-    /// The checksum of all entries up to it.
+    /// The checksum of all entries, in hexadecimal.
     pub sum: String,
     /// The leader, if this member is a voter and knows one.
     pub leader: Option<SocketAddrV4>,
-    /// The configured voters, and whether each may vote in this epoch.
+    /// The configured voters, each with whether it may vote in this epoch.
     #[serde(rename = "keepers")]
     pub voters: Vec<(SocketAddrV4, bool)>,
     /// Whether the local member votes in this epoch.
     #[serde(rename = "seated")]
     pub is_voting: bool,
-    /// The number of proposals of the local member that wait for agreement.
+    /// The number of pending proposals of the local member.
     #[serde(rename = "waiting")]
     pub pending_proposals: usize,
     /// Event counters.
@@ -54,7 +54,7 @@
 }
 
 impl<M: StateMachine> Log<M> {
-    /// The state machine, with all agreed commands that are known here.
+    /// The state machine, with all decided commands that are known here applied.
     pub fn machine(&self) -> &M {
         &self.machine
     }
@@ -74,7 +74,7 @@
         self.chain.sum_at(index)
     }
 
-    /// Whether the local member is the leader, and may do what only one member should do.
+    /// Whether the local member is the leader, for tasks that only one member should carry out.
     pub fn leads(&self, now: Time) -> bool {
         self.voter.as_ref().is_some_and(|voter| voter.leads(now))
     }
--- a/crates/consensus/src/log/voting.rs
+++ b/crates/consensus/src/log/voting.rs
@@ -1,23 +1,23 @@
-//! The local voter's part in the agreement, and the voters of each epoch.
+//! The local voter, and the voter set of each epoch.
 //!
-//! A voter keeps its promises in memory only. One that restarts has lost them, so it has no vote until the leader admits it
-//! with the voters of a new epoch.
+//! A voter keeps its promises in memory only. A voter that restarts has lost them, so it has no vote until the leader
+//! readmits it with the voter set of a new epoch.
 
 use super::{Log, StateMachine};
 use crate::chain::Position;
 use crate::config::Time;
 use crate::message::Body;
-use crate::voter::Voter;
+use crate::voter::{DecidedEntry, Voter};
 use std::time::Duration;
 
-/// A voter that asks to be admitted must have been heard of within this time.
+/// A voter can be readmitted only if its last position arrived within this time.
 const APPLICANT_TIMEOUT: Duration = Duration::from_secs(2);
-/// It must lack no more than this many entries.
+/// A voter can be readmitted only if it lacks no more than this many entries.
 const APPLICANT_MAX_LAG: u64 = 8;
-/// The shortest time between two proposals to end an epoch.
+/// Minimum interval between two proposals to end an epoch.
 const EPOCH_CHANGE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A voter's process, as last heard of.
+/// A voter's process, as last reported by itself.
 #[derive(Debug)]
 pub(super) struct Applicant {
     pub start: u64,
@@ -26,7 +26,8 @@
 }
 
 impl<M: StateMachine> Log<M> {
-    /// As the leader, proposes to end the epoch: to admit a voter that has restarted, or because the epoch is long enough.
+    /// As the leader, proposes to end the epoch: to readmit a voter that has restarted, or because the epoch has
+    /// reached its maximum length.
     pub(super) fn propose_epoch_change(&mut self, now: Time) {
         let Some(voter) = &mut self.voter else { return };
         if !voter.leads(now) || now < self.next_epoch_change {
@@ -51,38 +52,38 @@
         voter.end_epoch(now, starts);
     }
 
-    /// Applies what the voters have agreed on, and sends the agreement's messages.
-    pub(super) fn apply_agreed(&mut self, now: Time) {
+    /// Applies the entries that were decided, and sends the messages of the `omnipaxos` instance.
+    pub(super) fn apply_decided(&mut self, now: Time) {
         let Some(voter) = &mut self.voter else { return };
-        let agreed = voter.take_agreed(self.config.features.decided_only);
+        let decided = voter.take_decided(self.config.features.decided_only);
         let (epoch, outgoing) = (voter.epoch, voter.take_outgoing());
         for outgoing in outgoing {
             let to = self.config.voters[outgoing.to];
             let (count, message) = (outgoing.count, outgoing.message);
-            self.send(to, &Body::Agreement { epoch, count, message });
+            self.send(to, &Body::OmniPaxos { epoch, count, message });
         }
-        for indexed in agreed {
-            let (index, last) = (indexed.index, self.chain.last().index);
+        for DecidedEntry { index, entry } in decided {
+            let last = self.chain.last().index;
             if index == last + 1 {
-                self.append(now, vec![indexed.entry]);
+                self.append(now, vec![entry]);
             } else if index <= last {
-                // It was learned from other members before.
-                let same = self.chain.entry(index).is_none_or(|known| *known == indexed.entry);
+                // The entry was already received from another member.
+                let same = self.chain.entry(index).is_none_or(|known| *known == entry);
                 self.counters.invariant_violations += u64::from(!same);
                 debug_assert!(same || !self.config.features.decided_only, "two entries at {index}");
             }
         }
     }
 
-    /// Starts or stops the local voter as the current voter set demands. A process that has lost the promises of an earlier
-    /// one must not vote in its place.
+    /// Starts or stops the local voter as the current voter set requires. A process that has lost the promises of an
+    /// earlier one must not vote in its place.
     pub(super) fn update_voter(&mut self, now: Time) {
         self.last_vote = self.last_vote.max(self.voters.epoch.bootstrap_id);
         let Some(index) = self.config.voter_index() else { return };
         let admitted = self.voters.starts.get(index).copied().unwrap_or(0);
         let is_own = admitted == self.start || admitted != 0 && !self.config.features.readmission;
         if admitted > self.start {
-            // The wall clock was set back between two starts; this process is the later one all the same.
+            // The wall clock was set back between two starts, but this process is the later one.
             self.start = admitted + 1;
         }
         let epoch = self.voters.epoch;
--- a/crates/consensus/src/message/tests.rs
+++ b/crates/consensus/src/message/tests.rs
@@ -25,18 +25,18 @@
 }
 
 #[test]
-fn wire_format_of_the_agreement_is_unchanged() {
+fn wire_format_of_omnipaxos_messages_is_unchanged() {
     let epoch = Epoch { bootstrap_id: 1 << 20, number: 3 };
     let forwarded = PaxosMsg::ProposalForward(vec![EncodedEntry(vec![1, 2, 3])]);
-    let forwarded = Agreement::SequencePaxos(PaxosMessage { from: 1, to: 2, msg: forwarded });
+    let forwarded = OmniPaxosMessage::SequencePaxos(PaxosMessage { from: 1, to: 2, msg: forwarded });
     let heartbeat = HeartbeatMsg::Request(HeartbeatRequest { round: 7 });
-    let heartbeat = Agreement::BLE(BLEMessage { from: 1, to: 2, msg: heartbeat });
+    let heartbeat = OmniPaxosMessage::BLE(BLEMessage { from: 1, to: 2, msg: heartbeat });
     assert_eq!(
-        hex(&Body::Agreement { epoch, count: 5, message: forwarded }),
+        hex(&Body::OmniPaxos { epoch, count: 5, message: forwarded }),
         "636c01204c2aa3ee551819818080f807d936ac020080804003050001020801030102037c90ddbb"
     );
     assert_eq!(
-        hex(&Body::Agreement { epoch, count: 5, message: heartbeat }),
+        hex(&Body::OmniPaxos { epoch, count: 5, message: heartbeat }),
         "636c01204c2aa3ee551819818080f807d936ac02008080400305010102000716260636"
     );
     assert_eq!(
@@ -79,7 +79,7 @@
     let voters = VoterSet { epoch: Epoch { bootstrap_id: 1 << 20, number: 0 }, starts: vec![300, 0, 301] };
     let position = Position { bootstrap_id: 1 << 20, index: 130, sum: 9 };
     let status = BootstrapStatus { nonce: 6, position, leader: Some(2), last_vote: 1 << 20 };
-    let vote = BootstrapVote { nonce: 6, bootstrap: 1 << 20, granted: true };
+    let vote = BootstrapVote { nonce: 6, bootstrap_id: 1 << 20, granted: true };
     assert_eq!(
         hex(&Body::BootstrapQuery { nonce: 6 }),
         "636c01204c2aa3ee551819818080f807d936ac020606bac7817a"
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,10 +1,10 @@
-//! The storage of a voter's part in one epoch: in memory, and no longer than the epoch.
+//! In-memory storage of the `omnipaxos` instance of one epoch; it is dropped with the epoch.
 
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{Entry, NoSnapshot, StopSign, Storage, StorageOp, StorageResult};
 use serde::{Deserialize, Serialize};
 
-/// An encoded entry, opaque to the agreement.
+/// An encoded log entry, opaque to `omnipaxos`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EncodedEntry(pub Vec<u8>);
 
@@ -12,7 +12,8 @@
     type Snapshot = NoSnapshot;
 }
 
-/// What one voter has promised and accepted in one epoch. Nothing is trimmed: an epoch ends when it is long enough.
+/// What a voter has promised and accepted in one epoch. Nothing is trimmed, because the length of an epoch is
+/// limited.
 #[derive(Debug, Default)]
 pub struct EpochStorage {
     log: Vec<EncodedEntry>,
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -1,38 +1,38 @@
-//! A voter's part in one epoch: the instance of the agreement, and which other voters are reachable.
+//! The local voter in one epoch: its `omnipaxos` instance, and which other voters are reachable.
 
 use crate::chain::{Entry, Epoch, VoterSet};
 use crate::config::{Config, Time};
 use crate::storage::{EncodedEntry, EpochStorage};
-use omnipaxos::messages::Message as Agreement;
+use omnipaxos::messages::Message as OmniPaxosMessage;
 use omnipaxos::util::LogEntry;
 use omnipaxos::{ClusterConfig, OmniPaxos, ServerConfig};
 use std::collections::VecDeque;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Ticks of one round of the election.
+/// Ticks of one heartbeat round of the leader election.
 const ELECTION_TICKS: u64 = 5;
-/// Ticks after which a message counts as lost.
+/// Ticks after which a message counts as lost and is sent again.
 const RESEND_TICKS: u64 = 10;
-/// A voter that sent nothing for this many ticks counts as unreachable.
+/// A voter from which nothing has arrived for this many ticks counts as unreachable.
 const UNREACHABLE_TICKS: u32 = 25;
-/// The most proposals that are not decided yet.
+/// Maximum number of proposals that are not decided yet.
 const MAX_UNDECIDED: usize = 64;
 
-/// Messages are counted by channel: the agreement's and the election's.
+/// Messages are counted separately by channel: log replication and leader election.
 const CHANNELS: usize = 2;
 
-/// Which of the last messages from one voter arrived.
+/// Which of the last 64 messages of one voter and channel arrived.
 #[derive(Debug, Clone, Copy, Default)]
 struct ReceivedWindow {
-    /// The highest count.
+    /// The highest count received.
     last: u64,
-    /// A bit for each of the counts up to it, the lowest for `last` itself.
+    /// A bit for each of the counts up to `last`, the lowest for `last` itself.
     arrived: u64,
 }
 
 impl ReceivedWindow {
-    /// Notes a count that is higher than all before; returns whether it is.
+    /// Records a count if it is higher than all before; returns whether it is.
     fn advance(&mut self, count: u64) -> bool {
         if count <= self.last {
             return false;
@@ -42,7 +42,7 @@
         true
     }
 
-    /// Notes an earlier count; returns whether it is new and still covered.
+    /// Records a count that is not higher; returns whether it is new and within the window.
     fn fill_gap(&mut self, count: u64) -> bool {
         let bit = shift_left(1, self.last - count);
         let new = bit != 0 && self.arrived & bit == 0;
@@ -55,39 +55,39 @@
     bits.checked_shl(by as u32).unwrap_or(0)
 }
 
-/// A message for another voter.
+/// A message to another voter.
 pub(crate) struct OutgoingMessage {
     /// The receiver's index among the voters.
     pub to: usize,
-    /// How many messages of its channel were sent to the receiver, this one included.
+    /// The number of messages of its channel sent to the receiver, this one included.
     pub count: u64,
-    pub message: Agreement<EncodedEntry>,
+    pub message: OmniPaxosMessage<EncodedEntry>,
 }
 
-/// An agreed entry and its index in the log.
-pub(crate) struct IndexedEntry {
+/// A decided entry and its index in the log.
+pub(crate) struct DecidedEntry {
     pub index: u64,
     pub entry: Entry,
 }
 
-fn channel(message: &Agreement<EncodedEntry>) -> usize {
+fn channel(message: &OmniPaxosMessage<EncodedEntry>) -> usize {
     usize::from(is_election(message))
 }
 
-fn is_election(message: &Agreement<EncodedEntry>) -> bool {
-    matches!(message, Agreement::BLE(_))
+fn is_election(message: &OmniPaxosMessage<EncodedEntry>) -> bool {
+    matches!(message, OmniPaxosMessage::BLE(_))
 }
 
-/// The local member's part in one epoch.
+/// The local voter in one epoch.
 pub(crate) struct Voter {
     node: OmniPaxos<EncodedEntry, EpochStorage>,
     pub epoch: Epoch,
     pub starts: Vec<u64>,
     /// The local member's index among the voters.
     index: usize,
-    /// The log's index of the entry that named this epoch's voters.
+    /// The index in the log of the entry that named this epoch's voters.
     base: u64,
-    /// The number of the instance's entries that were read.
+    /// The number of the instance's entries that were read so far.
     entries_read: usize,
     /// When each voter's last message arrived.
     last_received: Vec<Option<Time>>,
@@ -96,10 +96,11 @@
     /// The messages received from each voter.
     received: Vec<[ReceivedWindow; CHANNELS]>,
     unreachable_after: Duration,
-    /// When there last was a leader, or no majority was reachable.
+    /// When there last was a leader, or no majority was reachable; the deadlock check counts from here.
     last_led: Time,
-    /// The proposals of late, by the hash of the entry, and when they were made.
+    /// Recent proposals: the hash of the entry, and when it was proposed.
     proposed: VecDeque<(u64, Time)>,
+    /// The entry that ends the epoch was read.
     ended: bool,
 }
 
@@ -112,7 +113,8 @@
 }
 
 impl Voter {
-    /// The part of the voter `index` in an epoch; `base` is the log's index of the entry that named its voters.
+    /// The voter `index` at the start of an epoch; `base` is the index in the log of the entry that named the epoch's
+    /// voters.
     pub fn new(config: &Config, index: usize, voter_set: &VoterSet, base: u64, now: Time) -> Option<Voter> {
         let server = ServerConfig {
             pid: index as u64 + 1,
@@ -142,12 +144,13 @@
         })
     }
 
-    /// Handles a message of another voter of this epoch, the `count`th that it sent here.
+    /// Handles the `count`th message of its channel from another voter of this epoch.
     ///
-    /// The library tolerates loss, but takes a message that arrives twice or is overtaken for a new one: it would overwrite
-    /// what is accepted, or count a vote twice. So late messages of the agreement are dropped, and each message of the
-    /// election is handled once. Nor does the library check a message's sender and receiver.
-    pub fn receive(&mut self, now: Time, from: usize, count: u64, message: Agreement<EncodedEntry>) {
+    /// `omnipaxos` tolerates lost messages, but treats a duplicate or an overtaken message as a new one: it would
+    /// overwrite accepted entries, or count a vote twice. So overtaken messages of log replication are dropped, and
+    /// each message of the leader election is handled only once. Sender and receiver are checked here, because
+    /// `omnipaxos` does not.
+    pub fn receive(&mut self, now: Time, from: usize, count: u64, message: OmniPaxosMessage<EncodedEntry>) {
         let window = &mut self.received[from][channel(&message)];
         let is_new = window.advance(count) || is_election(&message) && window.fill_gap(count);
         if !is_new {
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Advances the logical clock by a tick.
+    /// Advances the instance's logical clock by a tick.
     pub fn tick(&mut self, now: Time) {
         self.last_received[self.index] = Some(now);
         self.node.tick();
@@ -170,8 +173,9 @@
         }
     }
 
-    /// Under loss the library's elected leader may wait forever as the follower of its own ballot, while all others take it
-    /// for their leader. Where nobody leads although a majority is reachable, one voter after another stands again.
+    /// Under message loss, the leader that `omnipaxos` elected may remain a follower of its own ballot forever, while
+    /// all others regard it as their leader. If there is no leader although a majority is reachable, the voters try
+    /// to become leader, each after a different delay.
     fn break_election_deadlock(&mut self, now: Time) {
         if self.leader(now).is_some() || !self.reaches_majority(now) {
             self.last_led = now;
@@ -188,36 +192,37 @@
         messages.into_iter().map(|message| self.count_outgoing(message)).collect()
     }
 
-    fn count_outgoing(&mut self, message: Agreement<EncodedEntry>) -> OutgoingMessage {
+    fn count_outgoing(&mut self, message: OmniPaxosMessage<EncodedEntry>) -> OutgoingMessage {
         let to = message.get_receiver() as usize - 1;
         let sent = &mut self.sent[to][channel(&message)];
         *sent += 1;
         OutgoingMessage { to, count: *sent, message }
     }
 
-    /// Takes the entries that are agreed and were not read yet. The first voter set ends the epoch.
+    /// Takes the decided entries that were not read yet; with `decided_only` off, an injected defect, accepted ones
+    /// too. The first voter set ends the epoch.
     ///
-    /// What follows the end of the epoch is agreed in one order too, but not read: it is proposed again in the next. The
-    /// library's own way to end a configuration is not used: when the leader changes between its acceptance and its
-    /// decision, it counts it twice, and readers skip what came before it.
-    pub fn take_agreed(&mut self, decided_only: bool) -> Vec<IndexedEntry> {
+    /// Entries after the end of the epoch are decided in one order too, but are not read: their proposers propose
+    /// them again in the next epoch. The stop-sign of `omnipaxos` is not used to end the epoch: if the leader changes
+    /// between its acceptance and its decision, `omnipaxos` counts it twice, and readers skip the entries before it.
+    pub fn take_decided(&mut self, decided_only: bool) -> Vec<DecidedEntry> {
         let log_entries = if decided_only {
             self.node.read_decided_suffix(self.entries_read)
         } else {
             self.node.read_entries(self.entries_read..)
         };
-        let mut agreed = Vec::new();
+        let mut decided = Vec::new();
         for log_entry in log_entries.unwrap_or_default() {
             let (LogEntry::Decided(encoded) | LogEntry::Undecided(encoded)) = log_entry else { break };
             let Some(entry) = decode_entry(&encoded).filter(|_| !self.ended) else { break };
             self.ended = matches!(entry, Entry::Voters(_));
             self.entries_read += 1;
-            agreed.push(IndexedEntry { index: self.base + self.entries_read as u64, entry });
+            decided.push(DecidedEntry { index: self.base + self.entries_read as u64, entry });
         }
-        agreed
+        decided
     }
 
-    /// The number of entries of this epoch that are agreed.
+    /// The number of decided entries of this epoch that were read.
     pub fn length(&self) -> usize {
         self.entries_read
     }
@@ -244,12 +249,12 @@
         self.leader(now) == Some(self.index)
     }
 
-    /// Proposes a command, unless it was proposed just now or too many proposals are undecided.
+    /// Proposes a command, unless there is no leader, it was proposed recently, or too many proposals are undecided.
     pub fn propose(&mut self, now: Time, command: &[u8]) {
         self.append(now, &Entry::Command(command.to_vec()));
     }
 
-    /// Proposes the end of the epoch; the next one has voters with these starts.
+    /// Proposes the end of the epoch; `starts` are the start numbers of the next epoch's voters.
     pub fn end_epoch(&mut self, now: Time, starts: Vec<u64>) {
         let epoch = Epoch { number: self.epoch.number + 1, ..self.epoch };
         self.append(now, &Entry::Voters(VoterSet { epoch, starts }));
@@ -259,20 +264,20 @@
         let bytes = postcard::to_stdvec(entry).unwrap_or_default();
         let hash = xxh3_64(&bytes);
         let undecided = self.node.get_accepted_idx().saturating_sub(self.node.get_decided_idx());
-        let crowded = undecided >= MAX_UNDECIDED || self.proposed.len() >= MAX_UNDECIDED;
-        // Without a leader the library would keep proposals forever.
-        if self.leader(now).is_none() || crowded || self.ended {
+        let too_many = undecided >= MAX_UNDECIDED || self.proposed.len() >= MAX_UNDECIDED;
+        // Without a leader, `omnipaxos` would keep proposals forever.
+        if self.leader(now).is_none() || too_many || self.ended {
             return;
         }
         if !self.proposed.iter().any(|(proposed, _)| *proposed == hash) {
             self.proposed.push_back((hash, now));
-            // A proposal that is refused is repeated by the member that waits for it.
+            // A rejected proposal is repeated by the member that made it.
             let _ = self.node.append(EncodedEntry(bytes));
         }
     }
 }
 
-/// Decodes an entry; `None` for bytes that no member of this program proposed.
+/// Decodes an entry; `None` if the bytes are not a valid one.
 fn decode_entry(encoded: &EncodedEntry) -> Option<Entry> {
     postcard::from_bytes(&encoded.0).ok()
 }
