--- a/crates/consensus/src/chain/tests.rs
+++ b/crates/consensus/src/chain/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `chain` that use its private state.
+//! Tests of the chain of entries.
 
 use super::*;
 
--- a/crates/consensus/src/log/snapshots/tests.rs
+++ b/crates/consensus/src/log/snapshots/tests.rs
@@ -1,10 +1,11 @@
-//! Tests of `snapshots` that use its private state.
+//! Tests of snapshots.
 
 use super::*;
 use crate::chain::Epoch;
 use crate::config::Config;
 use std::net::Ipv4Addr;
 
+/// A state machine with a fixed state.
 struct Fixed;
 
 impl StateMachine for Fixed {
--- a/crates/consensus/src/message/tests.rs
+++ b/crates/consensus/src/message/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `message` that use its private state.
+//! Tests of messages and their wire format.
 
 use super::*;
 use crate::config::Config;
@@ -13,7 +13,7 @@
     Config::new("f", address(7001), (7001..=7003).map(address).collect())
 }
 
-/// The message's bytes in hexadecimal.
+/// An encoded message in hexadecimal.
 fn hex(body: &Body) -> String {
     let sender = Sender::new(address(7001), 300);
     encode(config().digest, sender, body).iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/consensus/tests/status_json.rs
+++ b/crates/consensus/tests/status_json.rs
@@ -1,8 +1,9 @@
-//! The JSON of the status, which operators' tools read: names and order of its keys.
+//! The JSON of the status. Operators' tools depend on its keys.
 
 use cometcroft_consensus::{Config, Log, StateMachine, Time};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
+/// A state machine without any state.
 struct Empty;
 
 impl StateMachine for Empty {
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -5,37 +5,39 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// All times of the protocol, derived from the longest pause that a member may make without being declared dead.
+/// The intervals and timeouts of the protocol, derived from the longest pause after which a member must not be
+/// declared dead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
-    /// The longest pause that is tolerated.
+    /// The longest tolerated pause of a member.
     pub max_pause: Time,
-    /// The protocol period: one member is probed in each.
+    /// The protocol period. One member is probed in each period.
     pub period: Time,
-    /// A probe without an answer is sent again after this.
+    /// A ping that is not answered is sent again after this time.
     pub resend_after: Time,
-    /// A probe without an answer goes through other members after this.
+    /// A probe that is not answered is made through other members after this time.
     pub direct_timeout: Time,
-    /// The suspicion timeout with enough accusers.
+    /// The suspicion timeout with the maximum number of accusers.
     pub min_suspicion: Time,
     /// The suspicion timeout with a single accuser.
     pub max_suspicion: Time,
-    /// The interval of gossip while there are updates to pass on.
+    /// The gossip interval while there are updates to transmit.
     pub gossip_interval: Time,
-    /// The longest interval at which dead members and unknown seeds are contacted, one at a time.
+    /// The maximum interval between contacts with dead members and unknown seeds, one at a time.
     pub max_reconnect_interval: Time,
-    /// Views whose digests differ for this long are exchanged.
+    /// Views are exchanged after their digests have differed for this time.
     pub exchange_delay: Time,
-    /// A fall of the headcount takes effect after this.
+    /// A decrease of the headcount takes effect after it has lasted for this time.
     pub headcount_settle: Time,
-    /// For this long after its start a member may meet its own previous generation.
+    /// For this time after its start, a member takes a higher generation under its name for its own previous one,
+    /// whose wall clock was ahead.
     pub restart_grace: Time,
-    /// Dead members and those that left are removed after this.
+    /// Members that are dead or have left are removed after this time.
     pub retention: Time,
 }
 
 impl Timing {
-    /// The times that follow from the longest tolerated pause.
+    /// The default intervals and timeouts for the longest tolerated pause.
     pub fn from_pause(pause: Time) -> Timing {
         Timing {
             max_pause: pause,
@@ -54,29 +56,29 @@
     }
 }
 
-/// Switches for parts of the protocol. All are on in service; measurements turn one off, and fault injection in tests turns
-/// off one that the protocol's correctness needs.
+/// Switches for parts of the protocol. All are on in production. Measurements turn one off to show its effect; tests
+/// turn one off that correctness depends on, to inject a defect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Features {
-    /// Probe indirectly, through other members.
+    /// Probe a member that does not answer through other members.
     pub indirect_probes: bool,
-    /// Local health awareness: take the local member's own lateness and silence into account.
+    /// Local health awareness: the local member's own pauses and missing answers lengthen its timeouts.
     pub local_health: bool,
-    /// Suspect members before declaring them dead.
+    /// Suspect a member before declaring it dead.
     pub suspicion: bool,
-    /// Refute accusations against the local member (off: a fault).
+    /// Refute accusations against the local member. Needed for correctness.
     pub refutation: bool,
-    /// Let a lower generation never override a higher one (off: a fault).
+    /// Ignore updates of a lower generation. Needed for correctness.
     pub generation_order: bool,
-    /// Contact dead members again, so that a healed partition merges (off: a fault).
+    /// Contact dead members again, so that the sides of a healed partition merge. Needed for correctness.
     pub reconnect: bool,
-    /// Let a fall of the headcount take effect only after it has lasted (off: a fault).
+    /// Let a decrease of the headcount take effect only after it has lasted. Needed for correctness.
     pub delayed_decrease: bool,
-    /// Exchange views that differ, and pass on news of alive members (off: a fault).
+    /// Exchange views that differ, and pass on updates about alive members. Needed for correctness.
     pub anti_entropy: bool,
-    /// Apply the local suspicion timeout to members that others report as dead (off: a fault).
+    /// Apply the local suspicion timeout to members that others report as dead. Needed for correctness.
     pub local_suspicion: bool,
-    /// Probe a suspect again before declaring it dead.
+    /// Probe a suspected member again before declaring it dead.
     pub confirmation_probes: bool,
 }
 
@@ -100,25 +102,25 @@
 /// A member's configuration.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The fleet's name; messages of other fleets are refused.
+    /// The fleet's name; messages of other fleets are rejected.
     pub fleet: String,
     /// The local member's name.
     pub name: Name,
-    /// The address at which others reach it, for datagrams and connections.
+    /// The address at which other members reach the local one, for datagrams and connections.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// The local member's zone.
     pub zone: Name,
-    /// Its tier.
+    /// The local member's tier.
     pub tier: u8,
-    /// Its rank among the sidecars of its tier.
+    /// The local member's rank among the sidecars of its tier.
     pub rank: u16,
-    /// Addresses to join the fleet through.
+    /// The addresses of members to join the fleet through.
     pub seeds: Vec<SocketAddrV4>,
-    /// All times.
+    /// The intervals and timeouts.
     pub timing: Timing,
-    /// The most members to hold, dead ones among them.
+    /// Maximum number of known members, including dead ones.
     pub max_members: usize,
-    /// Oldest and newest message format to use.
+    /// The oldest and the newest message format to use.
     pub formats: (u8, u8),
     /// Which parts of the protocol are on.
     pub features: Features,
--- a/crates/membership/src/dissemination_queue.rs
+++ b/crates/membership/src/dissemination_queue.rs
@@ -1,38 +1,38 @@
 //! The dissemination queue: updates that are piggybacked on outgoing messages, each a limited number of times.
 //!
-//! Updates that were sent least often go first, and among these the newest.
+//! Updates with the fewest transmissions go first; of these, the newest.
 
 use crate::message::{Name, State, Update};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// An update's place in the queue.
+/// The sort key of an update in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
     transmissions: u32,
     inserted: Reverse<u64>,
 }
 
-/// How much one message can carry.
+/// The capacity of a message for updates.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Capacity {
-    /// Bytes left for updates.
+    /// Bytes available for updates.
     pub bytes: usize,
-    /// Updates at most.
+    /// Maximum number of updates.
     pub updates: usize,
 }
 
-/// Updates that are still to be passed on.
+/// The updates that are still to be transmitted.
 #[derive(Debug, Default)]
 pub(crate) struct DisseminationQueue {
     updates: BTreeMap<Position, Update>,
-    /// Positions of the updates about each member: one, or one for each accuser of a suspect.
+    /// The positions of the updates about each member: one, or one for each accuser of a suspect.
     by_member: BTreeMap<Name, Vec<Position>>,
     next_insertion: u64,
 }
 
 impl DisseminationQueue {
-    /// Whether there is nothing to pass on.
+    /// Whether there are no updates to transmit.
     pub fn is_empty(&self) -> bool {
         self.updates.is_empty()
     }
@@ -42,10 +42,11 @@
         *self = DisseminationQueue { next_insertion: self.next_insertion, ..DisseminationQueue::default() };
     }
 
-    /// Adds an update and removes those that it supersedes. Beyond `limit` updates, those sent most often are removed.
+    /// Adds an update, and removes those that it supersedes. If the queue then holds more than `limit` updates, those
+    /// with the most transmissions are removed.
     pub fn add(&mut self, update: Update, limit: usize) {
         for position in self.positions_about(&update.record.name) {
-            let kept = self.updates.get(&position).is_some_and(|queued| stand_together(queued, &update));
+            let kept = self.updates.get(&position).is_some_and(|queued| can_coexist(queued, &update));
             if !kept {
                 self.remove(position);
             }
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The next updates that fit into a message. Each counts as transmitted once more, and is removed after
+    /// Takes the next updates that fit into a message. Each counts as transmitted once more, and is removed after
     /// `max_transmissions`.
     pub fn take(
         &mut self,
@@ -77,18 +78,18 @@
         picked.into_iter().filter_map(|position| self.transmit(position, max_transmissions)).collect()
     }
 
-    /// Another member has sent the same update: it needs to be sent once less.
-    pub fn heard_elsewhere(&mut self, update: &Update, max_transmissions: u32) {
+    /// Counts a received update like an own transmission of the same update: another member has spread it.
+    pub fn received_duplicate(&mut self, update: &Update, max_transmissions: u32) {
         let positions = self.positions_about(&update.record.name);
-        let found = positions
+        let duplicate = positions
             .into_iter()
-            .find(|position| self.updates.get(position).is_some_and(|queued| say_the_same(queued, update)));
-        if let Some(position) = found {
+            .find(|position| self.updates.get(position).is_some_and(|queued| is_same_update(queued, update)));
+        if let Some(position) = duplicate {
             self.transmit(position, max_transmissions);
         }
     }
 
-    /// Counts one transmission of an update and returns it; removes it if that was the last.
+    /// Counts a transmission of an update and returns the update; removes it from the queue after its last one.
     fn transmit(&mut self, position: Position, max_transmissions: u32) -> Option<Update> {
         let update = self.remove(position)?;
         let transmissions = position.transmissions + 1;
@@ -122,8 +123,9 @@
     }
 }
 
-/// Whether a queued update is kept beside a new one about the same member: suspicions of several accusers are.
-fn stand_together(queued: &Update, new: &Update) -> bool {
+/// Whether a queued update is kept beside a new one about the same member. Suspicions by different accusers are,
+/// because the number of accusers shortens the suspicion timeout.
+fn can_coexist(queued: &Update, new: &Update) -> bool {
     new.state == State::Suspect
         && queued.state == State::Suspect
         && queued.reporter != new.reporter
@@ -131,7 +133,7 @@
 }
 
 /// Whether two updates about one member carry the same information.
-fn say_the_same(queued: &Update, other: &Update) -> bool {
+fn is_same_update(queued: &Update, other: &Update) -> bool {
     queued.state == other.state
         && queued.record.generation == other.record.generation
         && queued.record.incarnation == other.record.incarnation
--- a/crates/membership/src/headcount/tests.rs
+++ b/crates/membership/src/headcount/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `headcount` that use its private state.
+//! Tests of the headcount.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_rise_binds_at_once_and_a_fall_after_it_has_lasted() {
+fn an_increase_takes_effect_at_once_and_a_decrease_after_it_has_lasted() {
     let mut count = Headcount::new(s(0), 3, s(10), true);
     assert_eq!(count.observe(s(1), 5, 5, 5), 5);
     assert_eq!(count.observe(s(2), 2, 4, 5), 5);
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn who_reaches_less_than_half_keeps_its_count_and_nobody_divides_by_nothing() {
+fn a_member_that_reaches_less_than_half_keeps_its_count_and_the_count_is_never_zero() {
     let mut count = Headcount::new(s(0), 5, s(10), true);
     for t in 1..60 {
         assert_eq!(count.observe(s(t), 2, 2, 5), 5);
     }
-    // It reaches the others again, and a fall still has to last.
+    // The member reaches the others again, but a decrease still has to last.
     assert_eq!(count.observe(s(60), 2, 3, 5), 5);
     assert_eq!(count.observe(s(71), 2, 3, 5), 2);
     assert_eq!(Headcount::new(s(0), 0, s(1), true).observe(s(5), 0, 1, 1), 1);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,8 @@
-//! Group membership and failure detection among the sidecars of a fleet, after SWIM.
+//! Group membership and failure detection among the sidecars of a fleet, after the SWIM protocol.
 //!
-//! The package does no I/O and reads no clock: a driver passes in received messages and the time, and takes out what is
-//! to be sent. [`Membership`] is the entry point; `docs/design/membership.md` describes the protocol and its reasons.
+//! The package does no I/O and reads no clock: a driver passes in received messages and the time, and takes out the
+//! messages to send. [`Membership`] is the entry point; `docs/design/membership.md` describes the protocol and its
+//! reasons.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -4,16 +4,16 @@
 //! | --- | --- |
 //! | `local` | the local member's record and state |
 //! | `health` | local health awareness |
-//! | `table` | the state table of all other members |
-//! | `transitions` | state changes and what follows from them |
+//! | `table` | the table of all other members |
+//! | `transitions` | state changes and their consequences |
 //! | `inbound` | received messages |
-//! | `updates` | merging of received updates, refutation |
+//! | `updates` | merging of received updates; refutation |
 //! | `probing`, `probe_ring` | direct and indirect probes |
 //! | `suspicion` | suspicion timeouts |
 //! | `dissemination` | gossip and outgoing messages |
-//! | `anti_entropy` | exchanges of whole views |
+//! | `anti_entropy` | exchanges of complete views |
 //! | `reconnect` | contact with seeds and dead members |
-//! | `reporting` | the view and its counters, for operators |
+//! | `reporting` | the local view and the counters, for drivers, operators and tests |
 
 mod anti_entropy;
 mod dissemination;
@@ -44,27 +44,27 @@
 use std::collections::VecDeque;
 use table::MemberTable;
 
-/// A generation's low bits are random, so that two starts in one millisecond differ.
+/// The low bits of a generation are random, so that two starts in the same millisecond differ.
 const GENERATION_RANDOM_BITS: u32 = 10;
 
 /// Counters of events that concern the local member.
 #[derive(Debug, Default)]
 struct EventCounters {
-    /// Accusations that it refuted.
+    /// Refuted accusations.
     refuted: u64,
-    /// Times that it was late itself.
+    /// Calls by the driver that came much later than requested.
     late: u64,
-    /// Messages of an outdated process with a known name.
+    /// Messages of an outdated process that uses a known name.
     name_conflicts: u64,
 }
 
-/// One member of a fleet: the whole protocol, without I/O.
+/// One member of a fleet: the complete protocol, without I/O.
 pub struct Membership {
     config: Config,
     fleet_digest: u64,
     rng: fastrand::Rng,
     now: Time,
-    /// When the driver was last told to call back. A call much later means that this process was paused.
+    /// When the next call by the driver was due. A call much later means that this process was paused.
     deadline: Time,
     local: LocalMember,
     health: LocalHealth,
@@ -82,11 +82,12 @@
 }
 
 impl Membership {
-    /// A member that starts now. `unix_ms` is the wall clock; of two starts under one name the later one wins.
+    /// A member that starts now. `unix_ms` is the wall clock; of two processes with the same name, the one that
+    /// started later wins.
     pub fn new(config: Config, now: Time, unix_ms: u64, seed: u64) -> Membership {
         let mut rng = fastrand::Rng::with_seed(seed);
         let record = own_record(&config, unix_ms, &mut rng);
-        // Members that start at the same time must not probe in step.
+        // A random first period keeps members that start at the same time from probing in step.
         let first_period = config.timing.period.mul_f64(rng.f64());
         let mut membership = Membership {
             fleet_digest: fleet_digest(&config.fleet),
@@ -121,11 +122,11 @@
         if let Some(suspicion) = self.next_suspicion_at() {
             at = at.min(suspicion);
         }
-        // What becomes due only now is not late.
+        // An action that became due in this call is due now, and does not count as late.
         at.max(self.now)
     }
 
-    /// The next action for the driver.
+    /// Takes the next action for the driver.
     pub fn output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
@@ -137,7 +138,7 @@
         self.deadline = self.next_at();
     }
 
-    /// Carries out what is due.
+    /// Carries out all actions that are due.
     pub fn tick(&mut self, now: Time) {
         self.advance_clock(now);
         self.check_suspicions();
@@ -156,7 +157,7 @@
         self.deadline = self.next_at();
     }
 
-    /// Leaves the fleet in order and announces it.
+    /// Leaves the fleet, and announces it to other members.
     pub fn leave(&mut self, now: Time) {
         self.advance_clock(now);
         if !self.local.leaving {
@@ -168,19 +169,19 @@
         self.deadline = self.next_at();
     }
 
-    /// The local member's whole view, to start an exchange with.
+    /// The encoded local view, to start an exchange with.
     pub fn view(&mut self) -> Vec<u8> {
         self.encode_view(true)
     }
 
-    /// Merges a whole view received in an exchange; returns the local view if the sender asked for it.
+    /// Merges a view received in an exchange; returns the encoded local view if the sender requested it.
     pub fn receive_view(&mut self, now: Time, bytes: &[u8]) -> Option<Vec<u8>> {
         self.advance_clock(now);
         self.merge_view(bytes)
     }
 
-    /// Advances the clock. A process that was paused, or got no processor, finds many timeouts expired at once; members that
-    /// could not answer it meanwhile are not to be blamed, so running probes are dropped and suspicions extended.
+    /// Advances the clock. A process that was paused, or got no CPU time, finds many timeouts expired at once. It
+    /// could not receive answers meanwhile, so running probes are abandoned and suspicions extended.
     fn advance_clock(&mut self, now: Time) {
         self.now = self.now.max(now);
         let late_by = self.now.saturating_sub(self.deadline);
@@ -204,7 +205,7 @@
     }
 }
 
-/// The local member's record at its start.
+/// The local member's record when it starts.
 fn own_record(config: &Config, unix_ms: u64, rng: &mut fastrand::Rng) -> Record {
     let random_bits = rng.u64(0..1 << GENERATION_RANDOM_BITS);
     Record {
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination: updates are piggybacked on every message, and gossiped while there are any to pass on.
+//! Dissemination: updates are piggybacked on every message, and gossiped while the queue holds any.
 
 use super::Membership;
 use crate::change::Output;
@@ -9,19 +9,19 @@
 };
 use std::net::SocketAddrV4;
 
-/// Gossip goes to this many members at a time.
+/// Number of members to which gossip is sent at a time.
 pub(super) const GOSSIP_FANOUT: usize = 3;
-/// A member that leaves announces it to this many others.
+/// Number of members to which a member announces that it leaves.
 pub(super) const LEAVE_FANOUT: usize = 8;
-/// A random choice of members draws this many times for each.
+/// Number of random draws for each member to pick.
 const DRAWS_PER_MEMBER: usize = 4;
-/// The most bytes of a datagram that are not updates: the sender's record, the payload, header and checksum.
+/// Maximum size of a datagram without its updates, in bytes: header, sender's record, payload and checksum.
 const DATAGRAM_OVERHEAD: usize = 220 + 2 * MAX_NAME;
-/// Each update is transmitted this many times, and the logarithm of the fleet's size more.
+/// Number of transmissions of an update, to which the logarithm of the fleet's size is added.
 const BASE_TRANSMISSIONS: u32 = 3;
 
 impl Membership {
-    /// Passes an update on, in place of those that it supersedes.
+    /// Queues an update for transmission, and removes those that it supersedes.
     pub(super) fn disseminate(&mut self, update: Update) {
         let about_self = update.record.name == self.local.record.name;
         if !self.features().anti_entropy && update.state == State::Alive && !about_self {
@@ -30,7 +30,7 @@
         self.queue.add(update, self.config.max_members * 2);
     }
 
-    /// Passes on a member's current state.
+    /// Queues a member's current state for transmission.
     pub(super) fn disseminate_state_of(&mut self, name: &Name) {
         if let Some(update) = self.update_about(name) {
             self.disseminate(update);
@@ -44,13 +44,13 @@
         Some(Update { record: member.record.clone(), state: member.state, reporter })
     }
 
-    /// How often an update is transmitted: a little more often than it takes to reach all members.
+    /// The number of transmissions of each update: a few more than gossip needs to reach all members.
     pub(super) fn max_transmissions(&self) -> u32 {
         let size = (self.table.present_count() + 2) as f64;
         BASE_TRANSMISSIONS + size.ln().ceil() as u32
     }
 
-    /// Sends queued updates to `fanout` random members.
+    /// Sends queued updates to up to `fanout` random members.
     pub(super) fn gossip(&mut self, fanout: usize) {
         if self.local.superseded {
             return;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Up to `count` different random present members.
+    /// Picks up to `count` distinct random present members.
     fn pick_present(&mut self, count: usize) -> Vec<Record> {
         let mut picked: Vec<Record> = Vec::with_capacity(count);
         for _ in 0..count * DRAWS_PER_MEMBER {
@@ -78,14 +78,15 @@
         picked
     }
 
-    /// Sends a message to a known member; an accusation against it goes first, so that it can refute.
+    /// Sends a message to a known member. If the member is accused, the accusation comes first, so that it can refute
+    /// it.
     pub(super) fn send_to(&mut self, record: &Record, payload: Payload) {
         let accused = self.table.get(&record.name).is_some_and(|member| member.state.is_accusation());
         let first = if accused { self.update_about(&record.name) } else { None };
         self.send(record.address(), record.formats.1, payload, first);
     }
 
-    /// Sends a message to an address: `first`, if any, and as many queued updates as fit.
+    /// Sends a message to an address, with the update `first`, if any, and as many queued updates as fit.
     pub(super) fn send(&mut self, to: SocketAddrV4, format: u8, payload: Payload, first: Option<Update>) {
         if self.local.superseded {
             return;
@@ -95,13 +96,13 @@
         let (oldest, newest) = self.config.formats;
         let packet = Packet { body, digest: Some(self.table.digest()) };
         let bytes = encode(self.fleet_digest, format.clamp(oldest, newest), &packet);
-        debug_assert!(bytes.len() <= MAX_DATAGRAM, "invariant broken: a datagram of {}", bytes.len());
+        debug_assert!(bytes.len() <= MAX_DATAGRAM, "datagram too long: {} bytes", bytes.len());
         self.traffic.sent += 1;
         self.traffic.sent_bytes += bytes.len() as u64;
         self.outputs.push_back(Output::Send(to, bytes));
     }
 
-    /// The updates of one datagram.
+    /// Collects the updates for a datagram.
     fn collect_updates(&mut self, first: Option<Update>) -> Vec<Update> {
         let first_size = first.as_ref().map_or(0, update_size);
         let bytes = (MAX_DATAGRAM - DATAGRAM_OVERHEAD).saturating_sub(first_size);
--- a/crates/membership/src/membership/inbound.rs
+++ b/crates/membership/src/membership/inbound.rs
@@ -1,4 +1,4 @@
-//! Received messages: decoding, the sender's own state, and dispatch by payload.
+//! Received messages: decoding, the sender's state, and dispatch by payload.
 
 use super::Membership;
 use super::probing::PingRequest;
@@ -17,18 +17,18 @@
         }
     }
 
-    /// Decodes a message, or counts why it was refused.
+    /// Decodes a message; counts the reason if it is rejected.
     pub(super) fn decode(&mut self, bytes: &[u8], max_size: usize) -> Option<Packet> {
         match decode(self.fleet_digest, self.config.formats, bytes, max_size) {
             Ok(packet) => Some(packet),
             Err(error) => {
-                self.count_refused(error);
+                self.count_rejected(error);
                 None
             }
         }
     }
 
-    fn count_refused(&mut self, error: DecodeError) {
+    fn count_rejected(&mut self, error: DecodeError) {
         let counter = match error {
             DecodeError::Garbled => &mut self.dropped.garbled,
             DecodeError::Overlong => &mut self.dropped.overlong,
@@ -81,11 +81,12 @@
         }
     }
 
-    /// Handles a message of another process with the local member's name.
+    /// Handles a message of another process with the local member's name. An outdated process that still sends after
+    /// the local one has run for some time is counted, and informed that it is superseded.
     fn handle_namesake(&mut self, from: &Record, state: State) {
         let own = &self.local;
-        let outlived = self.now > own.started + self.timing().max_pause;
-        if from.generation < own.record.generation && outlived && !own.superseded {
+        let past_startup = self.now > own.started + self.timing().max_pause;
+        if from.generation < own.record.generation && past_startup && !own.superseded {
             self.events.name_conflicts += 1;
             let update = own.update();
             self.send(from.address(), from.formats.1, Payload::Gossip, Some(update));
@@ -93,7 +94,7 @@
         self.merge_about_self(from, state, &from.name);
     }
 
-    /// Merges the sender's own state; returns whether the rest of its message counts.
+    /// Merges the sender's state; returns whether the rest of its message is to be handled.
     fn accept_sender(&mut self, from: &Record, state: State) -> bool {
         if self.is_outdated_sender(from) {
             return false;
@@ -104,13 +105,13 @@
                 member.last_received = Some(self.now);
                 true
             }
-            // The table is full.
+            // The member table is full.
             None => false,
         }
     }
 
-    /// Whether the sender is an earlier generation of a known member. Its messages may merely have been delayed; but a
-    /// process that keeps sending is running, and learns that it is superseded.
+    /// Whether the sender is an earlier generation of a known member. At first its messages may merely have been
+    /// delayed; a process that goes on sending is still running, and is informed that it is superseded.
     fn is_outdated_sender(&mut self, from: &Record) -> bool {
         let Some(member) = self.table.get(&from.name) else { return false };
         if from.generation >= member.record.generation || !self.features().generation_order {
@@ -126,12 +127,12 @@
         true
     }
 
-    /// Informs a sender that is held for suspect or dead, so that it can refute.
+    /// Informs a sender that is suspect or dead in the local view, so that it can refute the accusation.
     fn inform_accused(&mut self, from: &Record) {
         let (now, interval) = (self.now, self.timing().direct_timeout);
         let Some(member) = self.table.get_mut(&from.name) else { return };
-        let informed_lately = member.last_informed.is_some_and(|at| at + interval > now);
-        if member.state.is_accusation() && !informed_lately {
+        let recently_informed = member.last_informed.is_some_and(|at| at + interval > now);
+        if member.state.is_accusation() && !recently_informed {
             member.last_informed = Some(now);
             let record = member.record.clone();
             self.send_to(&record, Payload::Gossip);
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -1,4 +1,5 @@
-//! Failure detection: each period one member is probed, first directly, then through helpers (SWIM's ping request).
+//! Failure detection: in each period one member is probed, first directly, then through other members, the helpers
+//! (SWIM's ping request).
 
 use super::Membership;
 use super::table::Member;
@@ -8,13 +9,14 @@
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
 
-/// The most probes made for other members at a time.
+/// Maximum number of simultaneous probes on behalf of other members.
 const MAX_RELAYED_PROBES: usize = 256;
-/// A probe ends at this share of its period, so that its result is known before the next one begins.
+/// The share of its period after which a probe ends, so that its result is known before the next one begins.
 const PROBE_SHARE_OF_PERIOD: f64 = 0.95;
-/// A probe made for another member ends at this share of the direct timeout, in time for the requester's own.
+/// The share of the direct timeout after which a probe on behalf of another member ends, so that the answer arrives
+/// before the requester's own probe ends.
 const RELAYED_SHARE_OF_DIRECT: f64 = 0.6;
-/// The format of messages to addresses whose member's formats are not looked up.
+/// The format of relayed messages, whose receiver's supported formats are not looked up.
 const RELAY_FORMAT: u8 = 2;
 
 /// The local member's current probe.
@@ -23,16 +25,16 @@
     name: Name,
     generation: u64,
     sequence: Sequence,
-    /// When the ping is sent again; `None` once it was.
+    /// When the ping is sent again; `None` after that.
     resend_at: Option<Time>,
-    /// When helpers are asked; `None` once they were.
+    /// When the helpers are asked; `None` after that.
     indirect_at: Option<Time>,
     ends: Time,
     helpers: usize,
     nacks: usize,
 }
 
-/// A probe made on behalf of another member.
+/// A probe on behalf of another member.
 #[derive(Debug)]
 struct RelayedProbe {
     sequence: Sequence,
@@ -48,9 +50,9 @@
     pub sequence: Sequence,
     /// The member to probe.
     pub name: Name,
-    /// Its generation.
+    /// The generation of the member to probe.
     pub generation: u64,
-    /// Its address.
+    /// The address of the member to probe.
     pub address: SocketAddrV4,
 }
 
@@ -109,7 +111,7 @@
 }
 
 impl Membership {
-    /// Begins a protocol period: ends the last probe and starts the next.
+    /// Begins a protocol period: ends the last probe and starts the next one.
     pub(super) fn begin_period(&mut self) {
         self.conclude_probe();
         let (now, timing, multiplier) = (self.now, self.timing(), self.health.multiplier());
@@ -135,7 +137,7 @@
         self.send_ping(&record, sequence);
     }
 
-    /// Carries out the steps of the current probe that are due: resend, ask helpers, end.
+    /// Carries out the steps of the current probe that are due: send the ping again, ask the helpers, end the probe.
     pub(super) fn continue_probe(&mut self) {
         let now = self.now;
         let Some(probe) = &mut self.probing.current else { return };
@@ -199,7 +201,7 @@
         let Some(probe) = self.probing.current.take() else { return };
         self.traffic.probes_failed += 1;
         self.health.probe_failed();
-        // Helpers that do not even answer with a nack are a sign that the fault is the local member's own.
+        // Helpers that do not even send a nack are a sign that the local member itself is slow or cut off.
         let silent_helpers = probe.helpers.saturating_sub(probe.nacks);
         if self.features().local_health && (silent_helpers > 0 || probe.helpers == 0) {
             self.health.degrade();
@@ -214,7 +216,8 @@
         }
     }
 
-    /// Answers a ping. Another member may have taken over this address, so only the addressed one answers.
+    /// Answers a ping, if it addresses the local member. A ping may be meant for another member that had this address
+    /// before.
     pub(super) fn handle_ping(&mut self, from: &Record, sequence: Sequence, name: &Name, generation: u64) {
         let own = &self.local.record;
         let addressed = name.as_str().is_empty() || *name == own.name;
@@ -237,7 +240,7 @@
         self.send(address, RELAY_FORMAT, Payload::Ping { sequence, name, generation }, None);
     }
 
-    /// Handles the answer to a probe: the local member's own, or one made on another's behalf.
+    /// Handles the answer to the local member's own probe, or to one on behalf of another member.
     pub(super) fn handle_ack(&mut self, from: &Record, sequence: Sequence, name: &Name, generation: u64) {
         let current = self.probing.current.as_ref();
         if let Some(probe) = current.filter(|probe| probe.sequence == sequence && probe.name == *name) {
@@ -254,7 +257,7 @@
         }
     }
 
-    /// Handles a helper's answer that the target did not answer it either.
+    /// Handles a helper's nack: the target did not answer the helper either.
     pub(super) fn handle_nack(&mut self, sequence: Sequence) {
         let current = self.probing.current.as_mut();
         if let Some(probe) = current.filter(|probe| probe.sequence == sequence) {
@@ -263,7 +266,7 @@
         }
     }
 
-    /// Sends a nack for each probe made on another's behalf that was not answered in time.
+    /// Sends a nack for each probe on behalf of another member that was not answered in time.
     pub(super) fn expire_relayed_probes(&mut self) {
         while let Some(relayed) = self.probing.pop_expired_relayed(self.now) {
             let nack = Payload::Nack { sequence: relayed.requester_sequence };
--- a/crates/membership/src/membership/reconnect.rs
+++ b/crates/membership/src/membership/reconnect.rs
@@ -1,5 +1,5 @@
-//! Contact with members outside the local view: seeds to join the fleet through, and dead members, so that a healed
-//! partition merges again.
+//! Contact with members that are not present in the local view: with seeds, to join the fleet, and with dead members,
+//! so that the sides of a healed partition merge.
 
 use super::Membership;
 use crate::Time;
@@ -8,12 +8,12 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// A member without any other contacts this many seeds at a time.
+/// Maximum number of seeds that are contacted at a time while no other member is present.
 const MAX_SEEDS_AT_ONCE: usize = 5;
-/// The format of messages whose receiver's formats are not known: the oldest.
+/// The oldest format, for messages to receivers whose supported formats are not known.
 const OLDEST_FORMAT: u8 = 1;
 
-/// When the next attempt is due.
+/// The schedule of the attempts.
 #[derive(Debug)]
 pub(super) struct Reconnect {
     pub next_attempt: Time,
@@ -21,12 +21,12 @@
 }
 
 impl Reconnect {
-    /// The first attempt is due at `next_attempt`; from `interval` on, intervals double.
+    /// The first attempt is due at `next_attempt`. Intervals between attempts double, beginning with `interval`.
     pub fn new(next_attempt: Time, interval: Time) -> Reconnect {
         Reconnect { next_attempt, interval }
     }
 
-    /// Starts over with a short interval.
+    /// Starts over with a shorter interval, and brings the next attempt forward.
     pub fn hasten(&mut self, now: Time, interval: Time) {
         self.interval = interval;
         self.next_attempt = self.next_attempt.min(now + interval);
@@ -34,7 +34,7 @@
 }
 
 impl Membership {
-    /// Contacts seeds if no other member is present, else one dead member or unknown seed.
+    /// Contacts several seeds if no other member is present, or else one dead member or unknown seed.
     pub(super) fn attempt_reconnect(&mut self) {
         let seeds = self.unknown_seeds();
         if self.local.is_active() {
@@ -47,7 +47,7 @@
         self.schedule_reconnect();
     }
 
-    /// Seeds at whose address no present member is known.
+    /// The seeds at whose address no present member is known.
     fn unknown_seeds(&self) -> Vec<SocketAddrV4> {
         let present = self.table.iter().filter(|member| member.is_present());
         let known: BTreeSet<SocketAddrV4> = present.map(|member| member.record.address()).collect();
@@ -56,7 +56,7 @@
         seeds.filter(|seed| *seed != own_address && !known.contains(seed)).collect()
     }
 
-    /// Asks a random seed for its view, and pings it and those after it.
+    /// Exchanges views with a random seed, and pings that seed and those after it in the list.
     fn join_through(&mut self, seeds: &[SocketAddrV4]) {
         let first = self.rng.usize(..seeds.len());
         self.outputs.push_back(Output::Exchange(seeds[first]));
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Pings a random one among the dead members and unknown seeds.
+    /// Pings a random dead member or unknown seed.
     fn contact_one_absent(&mut self, seeds: &[SocketAddrV4]) {
         let dead = self.table.dead_count();
         let pick = self.rng.usize(..(dead + seeds.len()).max(1));
@@ -88,7 +88,7 @@
         self.reconnect.interval = (self.reconnect.interval * 2).min(timing.max_reconnect_interval);
     }
 
-    /// Pings whoever has this address.
+    /// Pings any member at an address.
     fn ping_address(&mut self, to: SocketAddrV4) {
         let sequence = self.probing.next_sequence();
         let ping = Payload::Ping { sequence, name: Name::default(), generation: 0 };
--- a/crates/membership/src/membership/reporting.rs
+++ b/crates/membership/src/membership/reporting.rs
@@ -1,4 +1,4 @@
-//! The local view and its counters, for drivers, operators and tests.
+//! The local view and the counters, for drivers, operators and tests.
 
 use super::Membership;
 use super::table::Member;
@@ -7,7 +7,7 @@
 use crate::report::{Dropped, MemberReport, Report, Traffic, ZoneReach};
 use std::collections::BTreeMap;
 
-/// The local member counts as heard by others if a message arrived within this many periods.
+/// A received message counts as recent for this many periods.
 const RECENT_PERIODS: u32 = 3;
 
 impl Membership {
@@ -16,23 +16,25 @@
         &self.local.record
     }
 
-    /// Whether a process with its name and a higher generation exists; this one sends nothing then.
+    /// Whether a process with the local member's name and a higher generation exists; the local one then sends
+    /// nothing.
     pub fn is_superseded(&self) -> bool {
         self.local.superseded
     }
 
-    /// Whether several probes in a row were not answered.
+    /// Whether the local member is isolated: several of its probes in a row got no answer.
     pub fn is_isolated(&self) -> bool {
         self.features().local_health && self.table.present_count() > 0 && self.health.is_isolated()
     }
 
-    /// Whether it is isolated although messages of others arrive.
+    /// Whether the local member is isolated although messages of others arrive.
     pub fn is_unheard(&self) -> bool {
         let recent = self.timing().period * RECENT_PERIODS * self.health.multiplier();
         self.is_isolated() && self.health.received_within(recent, self.now)
     }
 
-    /// The number of members that are alive, and of those that are known and have not left; itself in both.
+    /// The number of members that are alive, and the number of those that are known and have not left. Both include
+    /// the local member.
     pub fn reach(&self) -> (usize, usize) {
         let present = self.table.present_count();
         let alive = present - self.table.suspect_count();
@@ -40,18 +42,18 @@
         (reached, 1 + present + self.table.dead_count())
     }
 
-    /// The number of present sidecars of a tier, itself among them unless it is leaving.
+    /// The number of present members of a tier, including the local one unless it is leaving.
     pub fn present_in_tier(&self, tier: u8) -> u32 {
         let own = self.local.record.tier == tier && !self.local.leaving;
         self.table.present_in_tier(tier) + u32::from(own)
     }
 
-    /// The number of present members, itself among them.
+    /// The number of present members, including the local one.
     pub fn present_count(&self) -> usize {
         self.table.present_count() + 1
     }
 
-    /// The digest of the present members; equal views have equal digests.
+    /// The digest of the present members. Equal views have equal digests.
     pub fn digest(&self) -> u64 {
         self.table.digest()
     }
@@ -61,18 +63,18 @@
         self.table.get(name).map(|member| (member.state, member.record.generation))
     }
 
-    /// The names and generations of all present members, itself last.
+    /// The names and generations of all present members; the local one comes last.
     pub fn present_members(&self) -> impl Iterator<Item = (&Name, u64)> {
         let others = self.table.iter().filter(|member| member.is_present()).map(|member| &member.record);
         others.chain([&self.local.record]).map(|record| (&record.name, record.generation))
     }
 
-    /// Counters of messages.
+    /// The message counters.
     pub fn counters(&self) -> (Traffic, Dropped) {
         (self.traffic, self.dropped)
     }
 
-    /// The whole view with all counters.
+    /// The local view with all counters.
     pub fn report(&self) -> Report {
         let (reached, known) = self.reach();
         let local = &self.local;
@@ -98,7 +100,7 @@
         }
     }
 
-    /// The reach by zone. `reaches_others`: whether any other member counts as reached.
+    /// The reach by zone. Other members count as reached only with `reaches_others`.
     fn zone_reach(&self, reaches_others: bool) -> Vec<ZoneReach> {
         let reach_of = |zone: &Name| ZoneReach { zone: zone.to_string(), reached: 0, known: 0 };
         let own_zone = &self.local.record.zone;
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -1,5 +1,5 @@
-//! Suspicion: a member that does not answer is suspect first, and dead only after a timeout, which is the shorter the more
-//! members accuse it (Lifeguard's dynamic suspicion). Until then it may refute.
+//! Suspicion: a member that does not answer is suspect at first, and dead only after a timeout, within which it may
+//! refute the suspicion. The more members accuse it, the shorter is the timeout (Lifeguard's dynamic suspicion).
 
 use super::Membership;
 use super::table::Member;
@@ -7,13 +7,13 @@
 use crate::change::Cause;
 use crate::message::{Name, State, Update};
 
-/// With this many accusers the timeout is at its shortest.
+/// The number of accusers at which the timeout is at its minimum; further ones are ignored.
 const MAX_ACCUSERS: usize = 3;
-/// The local member probes a suspect again this many times.
+/// Number of times that the local member probes a suspect again.
 const MAX_CONFIRMATION_PROBES: u32 = 4;
 
 impl Membership {
-    /// Handles an accusation: `reporter` holds a member for suspect or dead.
+    /// Handles an accusation: according to `reporter`, a member is suspect or dead.
     pub(super) fn accuse(&mut self, name: &Name, reporter: Name, accusation: State, cause: Cause) {
         let (features, reported_dead) = (self.features(), accusation == State::Dead);
         let Some(member) = self.table.get(name) else { return };
@@ -33,7 +33,7 @@
             State::Dead | State::Left => {}
         }
         if reported_dead {
-            self.shorten_to_full_suspicion(name);
+            self.shorten_to_min_suspicion(name);
         }
     }
 
@@ -48,19 +48,20 @@
         self.shorten_suspicion(name);
     }
 
-    /// A member that another holds for dead gets no more than the shortest timeout. The other side of a partition holds all
-    /// of this side for dead; whoever lives still has the time to refute it.
-    fn shorten_to_full_suspicion(&mut self, name: &Name) {
+    /// Shortens a suspicion to the minimum timeout, because another member reports the member as dead. The state is
+    /// not simply taken over: after a partition, the other side regards all members of this side as dead, and those
+    /// that are alive must have the time to refute it.
+    fn shorten_to_min_suspicion(&mut self, name: &Name) {
         let suspicion = self.timing().min_suspicion;
         if let Some(member) = self.table.get_mut(name).filter(|member| member.state == State::Suspect) {
             member.suspect_until = member.suspect_until.min(member.since + suspicion);
         }
     }
 
-    /// Shortens a suspicion by the number of its accusers.
+    /// Shortens a suspicion according to the number of accusers.
     pub(super) fn shorten_suspicion(&mut self, name: &Name) {
         let timing = self.timing();
-        // In a fleet of three only one other member can agree.
+        // In a fleet of three, only one other member can accuse the suspect too.
         let wanted = MAX_ACCUSERS.min(self.table.present_count().saturating_sub(1)).max(1);
         let Some(member) = self.table.get_mut(name) else { return };
         let share = match wanted {
@@ -71,8 +72,8 @@
         member.suspect_until = member.suspect_until.min(member.since + timeout);
     }
 
-    /// Restarts a suspicion because the member answered a probe. It stays suspect until it refutes; but a pause that it makes
-    /// before its refutation arrives must not be added to the one before.
+    /// Restarts a suspicion because the member answered a probe. The member remains suspect until it refutes the
+    /// suspicion, but another pause before its refutation arrives must not add up with the earlier one.
     pub(super) fn restart_suspicion(&mut self, name: &Name, generation: u64) {
         let (now, timing) = (self.now, self.timing());
         if let Some(member) = self.table.get_mut(name)
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Extends all suspicions because the local member was paused for `late_by`.
+    /// Extends all suspicions, because the local member was paused for `late_by`.
     pub(super) fn extend_suspicions(&mut self, late_by: Time) {
         let earliest = self.deadline + late_by + self.timing().min_suspicion;
         let suspects: Vec<Name> = self.table.suspects().cloned().collect();
@@ -97,13 +98,13 @@
         }
     }
 
-    /// When the next suspect is to be probed again or times out.
+    /// When the next suspect is due to be probed again or to be declared dead.
     pub(super) fn next_suspicion_at(&self) -> Option<Time> {
         let suspects = self.table.suspects().filter_map(|name| self.table.get(name));
         suspects.map(|member| self.suspicion_due(member)).min()
     }
 
-    /// When a suspect is to be probed again or times out.
+    /// When a suspect is due to be probed again or to be declared dead.
     fn suspicion_due(&self, member: &Member) -> Time {
         let timing = self.timing();
         let probes_left = match self.features().confirmation_probes {
@@ -118,7 +119,7 @@
         next_probe.max(member.last_confirmation_probe + timing.direct_timeout).min(member.suspect_until)
     }
 
-    /// Probes suspects again, or declares them dead, as is due.
+    /// Probes the suspects again, or declares them dead, that are due.
     pub(super) fn check_suspicions(&mut self) {
         let now = self.now;
         let is_due = |member: &Member| self.suspicion_due(member) <= now;
@@ -127,7 +128,7 @@
             if self.send_confirmation_probe(&name) {
                 continue;
             }
-            // A member that nobody answers cannot tell dead members from those that it does not reach.
+            // An isolated member cannot tell dead members from those that it does not reach.
             if self.is_isolated() {
                 let until = now + self.timing().min_suspicion;
                 if let Some(member) = self.table.get_mut(&name) {
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Probes a suspect again if it has probes left; returns whether it did. Updates are passed on a limited number of times,
-    /// so the suspect's refutation may have reached all members but the local one.
+    /// Probes a suspect again, if it has probes left; returns whether it did. Updates are transmitted a limited
+    /// number of times, so the suspect's refutation may have reached all members but the local one.
     fn send_confirmation_probe(&mut self, name: &Name) -> bool {
         let (now, direct) = (self.now, self.timing().direct_timeout);
         let sequence = self.probing.next_sequence();
@@ -155,7 +156,7 @@
         }
         member.confirmation_probes += 1;
         member.last_confirmation_probe = now;
-        // The first and the last probe have the time to be answered, however short the suspicion has become.
+        // The suspect gets the time to answer the first and the last probe, however short the suspicion has become.
         if [1, MAX_CONFIRMATION_PROBES].contains(&member.confirmation_probes) {
             member.suspect_until = member.suspect_until.max(now + direct);
         }
--- a/crates/membership/src/membership/table.rs
+++ b/crates/membership/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The state table: all known members but the local one, with the sums that depend on their states.
+//! The member table: all known members but the local one, with counts and a digest that are kept up to date.
 
 use crate::Time;
 use crate::message::{Name, Record, State};
@@ -9,27 +9,27 @@
 pub(super) struct Member {
     pub record: Record,
     pub state: State,
-    /// When the state was entered, or the suspicion last restarted.
+    /// When the member entered its state, or its suspicion was last restarted.
     pub since: Time,
     /// When this generation became known.
     pub generation_since: Time,
-    /// When the member's own last message arrived.
+    /// When the last message sent by the member itself arrived.
     pub last_received: Option<Time>,
-    /// When the member was last informed of the accusation against it.
+    /// When the member was last informed that it is accused.
     pub last_informed: Option<Time>,
-    /// While suspect: who accuses it.
+    /// The accusers of a suspect.
     pub accusers: Vec<Name>,
-    /// While suspect: when the suspicion times out.
+    /// When the suspicion of a suspect times out.
     pub suspect_until: Time,
-    /// While suspect: how often the local member probed it again.
+    /// How often the local member has probed a suspect again.
     pub confirmation_probes: u32,
     /// When the last of these probes was sent.
     pub last_confirmation_probe: Time,
 }
 
 impl Member {
-    /// A member that becomes known now. It enters the table as left, the state that counts nowhere, until
-    /// [`MemberTable::set_state`] gives it its first one.
+    /// A member that becomes known now. Its state is left, which enters into no count, until
+    /// [`MemberTable::set_state`] sets its first one.
     pub fn new(record: Record, now: Time) -> Member {
         Member {
             record,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether it takes part in the protocol: alive or suspect.
+    /// Whether the member is present, that is alive or suspect.
     pub fn is_present(&self) -> bool {
         self.state.is_present()
     }
@@ -63,7 +63,7 @@
 }
 
 impl MemberTable {
-    /// A table without members. `digest` is the local member's own, which the view's digest includes.
+    /// A table without members. `digest` is that of the local member's record, which the digest of the view includes.
     pub fn new(digest: u64) -> MemberTable {
         MemberTable {
             members: BTreeMap::new(),
@@ -80,8 +80,8 @@
         self.members.get(name)
     }
 
-    /// A member by name, to change what no sum depends on. Records change through [`MemberTable::update_record`], states
-    /// through [`MemberTable::set_state`].
+    /// A member by name, to change fields that enter into no count or digest. Records are changed by
+    /// [`MemberTable::update_record`], states by [`MemberTable::set_state`].
     pub fn get_mut(&mut self, name: &Name) -> Option<&mut Member> {
         self.members.get_mut(name)
     }
@@ -96,53 +96,54 @@
         self.members.contains_key(name)
     }
 
-    /// All members, in the order of their names.
+    /// All members, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// The names of all suspects, in order.
+    /// The names of all suspects, ordered.
     pub fn suspects(&self) -> impl Iterator<Item = &Name> {
         self.suspects.iter()
     }
 
-    /// How many members are suspect.
+    /// The number of suspects.
     pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
-    /// How many members are dead.
+    /// The number of dead members.
     pub fn dead_count(&self) -> usize {
         self.dead.len()
     }
 
-    /// A dead member by its place in the order of names.
+    /// The dead member at an index in the order of names.
     pub fn nth_dead(&self, index: usize) -> Option<&Member> {
         self.dead.iter().nth(index).and_then(|name| self.members.get(name))
     }
 
-    /// How many members are present: alive or suspect.
+    /// The number of present members, without the local one.
     pub fn present_count(&self) -> usize {
         self.present
     }
 
-    /// How many members of a tier are present.
+    /// The number of present members of a tier, without the local one.
     pub fn present_in_tier(&self, tier: u8) -> u32 {
         self.present_by_tier.get(&tier).copied().unwrap_or(0)
     }
 
-    /// The digest of the view: of all present members and the local one.
+    /// The digest of the view: all present members and the local one.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Adds a member's digest to the view's, or removes it: the sum is an exclusive or.
+    /// Adds a record's digest to the view's digest, or removes it. The view's digest is the exclusive or of its
+    /// records' digests.
     pub fn toggle_digest(&mut self, digest: u64) {
         self.digest ^= digest;
     }
 
-    /// Adds a member. While the table holds `capacity` members, one that has left makes room; returns whether there was
-    /// any. Members in other states stay, so that strangers cannot push them out.
+    /// Adds a member. If the table already holds `capacity` members, one that has left is removed; returns `false` if
+    /// there is none. Members in other states are kept, so that a flood of new members cannot displace them.
     pub fn insert(&mut self, record: Record, now: Time, capacity: usize) -> bool {
         if self.members.len() >= capacity {
             let has_left = |(_, member): &(&Name, &Member)| member.state == State::Left;
@@ -155,7 +156,7 @@
         true
     }
 
-    /// Changes a member's record and keeps the sums true.
+    /// Changes a member's record, and updates counts and digest.
     pub fn update_record(&mut self, name: &Name, change: impl FnOnce(&mut Member)) {
         let Some(member) = self.members.get_mut(name) else { return };
         let (old_digest, old_tier) = (member.record.digest(), member.record.tier);
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Changes a member's state, keeps the sums true, and returns the previous state. Accusers are cleared.
+    /// Changes a member's state, clears its accusers, and updates counts and digest; returns the previous state.
     pub fn set_state(&mut self, name: &Name, state: State) -> Option<State> {
         let member = self.members.get_mut(name)?;
         let was_present = member.is_present();
@@ -189,7 +190,7 @@
         Some(previous)
     }
 
-    /// Removes members that have been dead or left for `after`.
+    /// Removes the members that have been dead, or left the fleet, at least `after` ago.
     pub fn remove_absent(&mut self, now: Time, after: Time) {
         let expired = |member: &&Member| !member.is_present() && member.since + after <= now;
         let names: Vec<Name> = self.iter().filter(expired).map(|member| member.record.name.clone()).collect();
--- a/crates/membership/src/membership/transitions.rs
+++ b/crates/membership/src/membership/transitions.rs
@@ -1,16 +1,16 @@
-//! State changes of members, and what follows from them.
+//! State changes of members, and their consequences.
 
 use super::Membership;
 use crate::change::{Cause, Change, Output};
 use crate::message::{Name, State};
 
 impl Membership {
-    /// Puts a member into a state, reports the change, and schedules what follows from it.
+    /// Sets a member's state, reports the change, and schedules its consequences.
     pub(super) fn transition(&mut self, name: &Name, to: State, cause: Cause, reporter: &Name) {
         let Some(previous) = self.table.set_state(name, to) else { return };
         self.enter_state(name, previous, to, reporter);
         if to == State::Dead || previous == State::Dead {
-            // Dead members are contacted soon, and ever more rarely while nothing changes.
+            // Dead members are contacted soon after the change, and less and less often while nothing changes.
             self.reconnect.hasten(self.now, self.timing().max_pause / 2);
         }
         if previous != to || matches!(cause, Cause::Discovered | Cause::Restarted) {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Sets what belongs to the new state: its start, and a suspicion's accuser and timeout.
+    /// Sets the time at which the state was entered, and for a suspicion its accuser and timeout.
     fn enter_state(&mut self, name: &Name, previous: State, to: State, reporter: &Name) {
         let (now, timeout) = (self.now, self.timing().max_suspicion);
         let Some(member) = self.table.get_mut(name) else { return };
--- a/crates/membership/src/membership/updates.rs
+++ b/crates/membership/src/membership/updates.rs
@@ -1,5 +1,5 @@
-//! Merging of updates by SWIM's order: a higher generation wins, then a higher incarnation, then the worse state; leaving is
-//! final for a generation. The local member refutes accusations against itself.
+//! Merging of updates in SWIM's order: a higher generation overrides a lower one, then a higher incarnation, then the
+//! worse state; leaving is final for a generation. The local member refutes accusations against itself.
 
 use super::Membership;
 use super::dissemination::GOSSIP_FANOUT;
@@ -47,7 +47,8 @@
             member.record = update.record.clone();
             member.generation_since = now;
         });
-        // That a new generation is dead is an accusation like any other, and gets the local suspicion timeout.
+        // A report that a new generation is dead is an accusation like any other, and gets the local suspicion
+        // timeout.
         let state = if update.state == State::Dead { State::Suspect } else { update.state };
         self.transition(name, state, Cause::Restarted, &update.reporter);
         self.disseminate(update);
@@ -60,7 +61,7 @@
         let incarnation = update.record.incarnation;
         let newer = incarnation > known_incarnation;
         if !newer {
-            self.queue.heard_elsewhere(&update, self.max_transmissions());
+            self.queue.received_duplicate(&update, self.max_transmissions());
         }
         match (update.state, known_state) {
             (_, State::Left) => {}
@@ -92,7 +93,7 @@
     pub(super) fn merge_about_self(&mut self, record: &Record, state: State, reporter: &Name) {
         let own = &self.local.record;
         if record.generation > own.generation {
-            self.meet_higher_generation(record);
+            self.handle_higher_generation(record);
         } else if record.generation == own.generation
             && !self.local.leaving
             && state != State::Alive
@@ -103,11 +104,12 @@
         }
     }
 
-    /// Handles a higher generation under the local member's name. Soon after the start it is a previous start's, whose wall
-    /// clock was ahead: the local member raises its own generation above it. Otherwise another process has taken the name.
-    fn meet_higher_generation(&mut self, record: &Record) {
-        let young = self.now < self.local.started + self.timing().restart_grace;
-        if young && !self.local.raised_generation {
+    /// Handles a higher generation under the local member's name. Soon after the start, it is that of a previous
+    /// process whose wall clock was ahead, so the local member raises its own generation above it. Otherwise another
+    /// process has taken over the name.
+    fn handle_higher_generation(&mut self, record: &Record) {
+        let recently_started = self.now < self.local.started + self.timing().restart_grace;
+        if recently_started && !self.local.raised_generation {
             self.local.raised_generation = true;
             let generation = record.generation + 1;
             self.change_own_record(|own| (own.generation, own.incarnation) = (generation, 0));
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Stops sending for good, because another process has the local member's name.
+    /// Stops sending permanently, because another process has taken over the local member's name.
     fn become_superseded(&mut self, successor: &Record) {
         self.local.superseded = true;
         self.probing.abandon_current();
@@ -131,7 +133,7 @@
         }));
     }
 
-    /// Refutes an accusation with a higher incarnation, and informs the accuser first.
+    /// Refutes an accusation with a higher incarnation, and also sends the refutation directly to the accuser.
     fn refute(&mut self, incarnation: u32, accuser: &Name) {
         self.events.refuted += 1;
         self.health.degrade();
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,7 +1,8 @@
 //! Messages between members and their wire format.
 //!
-//! A datagram is `cf`, the format, the fleet's digest (8 bytes), the body (postcard), and a checksum (4 bytes) over all
-//! bytes before it. An exchange over a connection carries the same form, of any length, after its length in 4 bytes.
+//! A datagram is `cf`, the format (1 byte), the digest of the fleet's name (8 bytes), the body (postcard), and a
+//! checksum (4 bytes) over all bytes before it. On a connection, a message follows its length (4 bytes); it has the same
+//! layout, and may be longer than a datagram.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -9,23 +10,23 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The longest datagram, in bytes.
+/// Maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM: usize = 1200;
-/// Oldest and newest supported format. Format 1 carries no digest of the view.
+/// The oldest and the newest supported format. Format 1 carries no digest of the view.
 pub const FORMATS: (u8, u8) = (1, 2);
-/// The longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME: usize = 40;
-/// The most bytes that one member takes in a whole view.
+/// Maximum size of a member in an encoded view, in bytes.
 pub const MAX_RECORD_SIZE: usize = 2 * MAX_NAME + 64;
-/// The most updates that a datagram carries.
+/// Maximum number of updates in a datagram.
 pub const MAX_UPDATES: usize = 64;
 
 const MAGIC: &[u8; 2] = b"cf";
 const HEADER_SIZE: usize = 11;
 const CHECKSUM_SIZE: usize = 4;
-/// An estimate of an update's size without its names.
+/// An estimate of an update's encoded size without its names, in bytes.
 const UPDATE_OVERHEAD: usize = 36;
-/// From this format on a message carries the digest of the sender's view.
+/// From this format on, a message carries the digest of the sender's view.
 const FIRST_FORMAT_WITH_DIGEST: u8 = 2;
 
 /// A short name, cheap to clone.
@@ -39,13 +40,13 @@
 }
 
 impl Name {
-    /// A name; `None` if it is too long or holds what is not printed.
+    /// A name; `None` if the text is too long or contains control characters.
     pub fn new(text: &str) -> Option<Name> {
         let fits = text.len() <= MAX_NAME && text.chars().all(|c| !c.is_control());
         fits.then(|| Name(Rc::from(text)))
     }
 
-    /// Its text.
+    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -66,25 +67,25 @@
 impl<'de> Deserialize<'de> for Name {
     fn deserialize<D: serde::Deserializer<'de>>(from: D) -> Result<Name, D::Error> {
         let text = <&str>::deserialize(from)?;
-        Name::new(text).ok_or_else(|| serde::de::Error::custom("no name"))
+        Name::new(text).ok_or_else(|| serde::de::Error::custom("invalid name"))
     }
 }
 
 /// A member's state, as the local member sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
-    /// It answers.
+    /// The member answers.
     Alive,
-    /// It did not answer a probe, and may still refute the suspicion.
+    /// The member did not answer a probe, and may still refute the suspicion.
     Suspect,
-    /// The suspicion was not refuted in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It announced that it leaves.
+    /// The member announced that it leaves the fleet.
     Left,
 }
 
 impl State {
-    /// The state as reports and logs spell it.
+    /// The state's name in reports and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             State::Alive => "alive",
@@ -94,136 +95,136 @@
         }
     }
 
-    /// Whether a member in this state takes part in the protocol: alive or suspect.
+    /// Whether a member in this state is present, that is alive or suspect.
     pub(crate) fn is_present(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 
-    /// Whether this is an accusation that the member may refute: suspect or dead.
+    /// Whether the state is an accusation, that is suspect or dead. The member may refute it.
     pub(crate) fn is_accusation(self) -> bool {
         matches!(self, State::Suspect | State::Dead)
     }
 }
 
-/// A member's description of itself.
+/// A member's identity and attributes, as it states them itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its name.
+    /// The member's name.
     pub name: Name,
-    /// Which start of its process; a later start has a higher one.
+    /// Identifies the start of the member's process; a later start has a higher generation.
     pub generation: u64,
-    /// How often this start has refuted an accusation.
+    /// Raised by the member each time it refutes an accusation.
     pub incarnation: u32,
-    /// Its IPv4 address as a number.
+    /// The member's IPv4 address as a number.
     pub ip: u32,
-    /// Its port, for datagrams and connections.
+    /// The member's port, for datagrams and connections.
     pub port: u16,
-    /// Its zone.
+    /// The member's zone.
     pub zone: Name,
-    /// Its tier.
+    /// The member's tier.
     pub tier: u8,
-    /// Its rank in the tier.
+    /// The member's rank in its tier.
     pub rank: u16,
-    /// Oldest and newest message format that it supports.
+    /// The oldest and the newest message format that the member supports.
     pub formats: (u8, u8),
 }
 
 impl Record {
-    /// Its address, for datagrams and connections.
+    /// The member's address, for datagrams and connections.
     pub fn address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::from(self.ip), self.port)
     }
 
     /// A digest of name, generation and address.
     pub(crate) fn digest(&self) -> u64 {
-        let place = (u64::from(self.ip) << 16) | u64::from(self.port);
+        let address = (u64::from(self.ip) << 16) | u64::from(self.port);
         let mut bytes = Vec::with_capacity(MAX_NAME + 16);
         bytes.extend_from_slice(self.name.as_str().as_bytes());
         bytes.extend_from_slice(&self.generation.to_le_bytes());
-        bytes.extend_from_slice(&place.to_le_bytes());
+        bytes.extend_from_slice(&address.to_le_bytes());
         xxh3_64(&bytes)
     }
 }
 
-/// A state update about a member, as members pass it on.
+/// An update about a member's state, as members pass it on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Update {
-    /// The member.
+    /// The member that the update is about.
     pub record: Record,
-    /// Its state.
+    /// The member's state.
     pub state: State,
-    /// Who reported that state first: for a suspicion, the accuser.
+    /// The member that first reported the state; for a suspicion, the accuser.
     pub reporter: Name,
 }
 
-/// Matches an answer to its probe. The number is the prober's own.
+/// Matches an answer to its probe. Each member numbers its own probes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Sequence(pub u32);
 
 impl Sequence {
-    /// The number after this one; it wraps around.
+    /// The next number; it wraps around.
     pub fn next(self) -> Sequence {
         Sequence(self.0.wrapping_add(1))
     }
 }
 
-/// A message's purpose, with what belongs to it.
+/// A message's kind, with its data.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Payload {
-    /// A direct probe of the member with this name and generation; an empty name addresses whoever receives it.
+    /// A probe of the member with this name and generation; an empty name addresses any receiver.
     Ping { sequence: Sequence, name: Name, generation: u64 },
     /// The answer to a ping.
     Ack { sequence: Sequence, name: Name, generation: u64 },
-    /// The answer to a ping request whose target did not answer.
+    /// The answer to a ping request if the target did not answer.
     Nack { sequence: Sequence },
-    /// The request to probe a member on the sender's behalf: SWIM's indirect probe.
+    /// A request to probe a member on the sender's behalf, for SWIM's indirect probe.
     PingRequest { sequence: Sequence, name: Name, generation: u64, ip: u32, port: u16 },
-    /// Nothing but the updates.
+    /// No data but the updates.
     Gossip,
-    /// The sender's whole view, for an anti-entropy exchange.
+    /// The sender's complete view, for an anti-entropy exchange; its members are the updates.
     View {
-        /// Whether the sender asks for the receiver's view in return.
+        /// Whether the sender requests the receiver's view in return.
         answer: bool,
     },
 }
 
-/// A message.
+/// A message's content in format 1.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Body {
-    /// The sender.
+    /// The sender's record.
     pub from: Record,
     /// Whether the sender is leaving.
     pub leaving: bool,
-    /// The purpose.
+    /// The message's kind.
     pub payload: Payload,
     /// Piggybacked updates.
     pub updates: Vec<Update>,
 }
 
 impl Body {
-    /// The sender's state, as it states it.
+    /// The sender's own state.
     pub fn sender_state(&self) -> State {
         if self.leaving { State::Left } else { State::Alive }
     }
 }
 
-/// A message in format 2, which adds the digest of the sender's view.
+/// A message's content in format 2, which adds the digest of the sender's view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Packet {
     pub body: Body,
     pub digest: Option<u64>,
 }
 
-/// Why a message was refused.
+/// Why a message was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DecodeError {
-    /// It is no message of this protocol, is cut short, or fails its checksum.
+    /// Not a message of this protocol, truncated, or its checksum does not match.
     Garbled,
-    /// It is longer than the longest valid message.
+    /// Longer than the maximum.
     Overlong,
-    /// It belongs to another fleet.
+    /// Of another fleet.
     Foreign,
-    /// Its format is not supported.
+    /// In a format that is not supported.
     Format,
 }
 
@@ -232,7 +233,7 @@
     xxh3_64(name.as_bytes())
 }
 
-/// A message in its wire format.
+/// Encodes a message in a format.
 pub(crate) fn encode(fleet: u64, format: u8, packet: &Packet) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(256);
     bytes.extend_from_slice(MAGIC);
@@ -243,14 +244,14 @@
     } else {
         postcard::to_stdvec(&packet.body)
     };
-    // Our own types always serialize; an empty body would be refused as garbled.
+    // Serializing cannot fail; receivers would reject an empty body as garbled.
     bytes.extend_from_slice(&body.unwrap_or_default());
     let sum = xxh3_64(&bytes) as u32;
     bytes.extend_from_slice(&sum.to_le_bytes());
     bytes
 }
 
-/// Reads a message of at most `max_size` bytes in one of `formats`.
+/// Decodes a message of at most `max_size` bytes in one of `formats`.
 pub(crate) fn decode(
     fleet: u64,
     formats: (u8, u8),
@@ -287,7 +288,7 @@
     }
 }
 
-/// An estimate of an update's size on the wire, in bytes.
+/// An estimate of an update's encoded size, in bytes.
 pub(crate) fn update_size(update: &Update) -> usize {
     let record = &update.record;
     let names = [&record.name, &record.zone, &update.reporter];
--- a/crates/membership/src/message/tests.rs
+++ b/crates/membership/src/message/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `message` that use its private state.
+//! Tests of messages and their wire format.
 
 use super::*;
 
@@ -21,30 +21,30 @@
 }
 
 #[test]
-fn both_formats_read_back_and_no_update_is_longer_than_counted() {
+fn messages_round_trip_in_both_formats_and_update_size_is_not_underestimated() {
     let packet = packet("a-member-of-some-length", 5);
     for format in [1, 2] {
         let bytes = encode(7, format, &packet);
-        let read = decode(7, FORMATS, &bytes, MAX_DATAGRAM).expect("it reads back");
-        assert_eq!(read.body, packet.body);
-        assert_eq!(read.digest, packet.digest.filter(|_| format == 2));
+        let decoded = decode(7, FORMATS, &bytes, MAX_DATAGRAM).expect("a valid message");
+        assert_eq!(decoded.body, packet.body);
+        assert_eq!(decoded.digest, packet.digest.filter(|_| format == 2));
     }
     let update = &packet.body.updates[0];
-    let long = postcard::to_stdvec(update).expect("bytes").len();
-    assert!(long <= update_size(update) + 8, "{long}");
+    let length = postcard::to_stdvec(update).expect("bytes").len();
+    assert!(length <= update_size(update) + 8, "{length}");
 }
 
 #[test]
-fn what_is_cut_turned_over_foreign_or_of_another_format_is_refused() {
+fn truncated_corrupted_foreign_and_overlong_messages_are_rejected() {
     let bytes = encode(7, 2, &packet("m", 2));
     for end in 0..bytes.len() {
         assert_eq!(decode(7, FORMATS, &bytes[..end], MAX_DATAGRAM), Err(DecodeError::Garbled), "{end}");
     }
     for at in 0..bytes.len() {
         for bit in 0..8 {
-            let mut turned = bytes.clone();
-            turned[at] ^= 1 << bit;
-            assert!(decode(7, FORMATS, &turned, MAX_DATAGRAM).is_err(), "byte {at} bit {bit}");
+            let mut corrupted = bytes.clone();
+            corrupted[at] ^= 1 << bit;
+            assert!(decode(7, FORMATS, &corrupted, MAX_DATAGRAM).is_err(), "byte {at} bit {bit}");
         }
     }
     assert_eq!(decode(8, FORMATS, &bytes, MAX_DATAGRAM), Err(DecodeError::Foreign));
@@ -52,7 +52,7 @@
     assert_eq!(decode(7, FORMATS, &[0; MAX_DATAGRAM + 1], MAX_DATAGRAM), Err(DecodeError::Overlong));
 }
 
-/// The message's bytes in hexadecimal, in a format.
+/// An encoded message in hexadecimal.
 fn hex(format: u8, payload: Payload, digest: Option<u64>) -> String {
     let name = |text| Name::new(text).expect("a name");
     let record = Record {
--- a/crates/membership/src/report.rs
+++ b/crates/membership/src/report.rs
@@ -5,17 +5,17 @@
 /// Messages and updates that were dropped, by reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Dropped {
-    /// Not a message of this protocol, cut short, or with a wrong checksum.
+    /// Messages that are not of this protocol, are truncated, or fail their checksum.
     pub garbled: u64,
-    /// Longer than the longest valid message.
+    /// Messages longer than the maximum.
     pub overlong: u64,
-    /// Of another fleet.
+    /// Messages of another fleet.
     pub foreign: u64,
-    /// In a format that is not supported.
+    /// Messages in a format that is not supported.
     pub format: u64,
-    /// Updates with an outdated generation or incarnation.
+    /// Messages and updates with an outdated generation or incarnation.
     pub stale: u64,
-    /// New members beyond the configured limit.
+    /// Updates about new members that were dropped because the member table is full.
     pub full: u64,
 }
 
@@ -24,11 +24,11 @@
 pub struct Traffic {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of datagrams sent.
     pub sent_bytes: u64,
     /// Datagrams received.
     pub received: u64,
-    /// Their bytes.
+    /// Bytes of datagrams received.
     pub received_bytes: u64,
     /// Views received in exchanges.
     pub exchanges: u64,
@@ -36,43 +36,43 @@
     pub exchange_bytes: u64,
     /// Probes started.
     pub probes: u64,
-    /// Probes without an answer, direct or indirect.
+    /// Probes that got no answer, neither directly nor through another member.
     pub probes_failed: u64,
 }
 
-/// One member, as the local member sees it.
+/// A member as the local member sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct MemberReport {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// `alive`, `suspect`, `gone` or `left`.
+    /// The member's state: `alive`, `suspect`, `gone` or `left`.
     pub state: &'static str,
-    /// How long it has been in this state, in milliseconds.
+    /// Time since the member entered this state, in milliseconds.
     pub for_ms: u64,
-    /// How long ago its last own message arrived, in milliseconds; `None` if there was none.
+    /// Time since the member's own last message arrived, in milliseconds; `None` if none did.
     pub heard_ms: Option<u64>,
-    /// Its generation.
+    /// The member's generation.
     pub generation: u64,
-    /// Its incarnation.
+    /// The member's incarnation.
     pub incarnation: u32,
-    /// Its address.
+    /// The member's address.
     pub address: String,
-    /// Its zone.
+    /// The member's zone.
     pub zone: String,
-    /// Its tier.
+    /// The member's tier.
     pub tier: u8,
-    /// Its rank.
+    /// The member's rank.
     pub rank: u16,
-    /// Oldest and newest message format that it supports.
+    /// The oldest and the newest message format that the member supports.
     pub formats: (u8, u8),
-    /// The names of its accusers.
+    /// The names of the members that accuse a suspected member.
     pub suspected_by: Vec<String>,
 }
 
-/// How many of a zone's members are reached, the local member among them.
+/// How many of a zone's members the local member reaches. It counts itself in its own zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ZoneReach {
-    /// The zone.
+    /// The zone's name.
     pub zone: String,
     /// Members that are alive.
     pub reached: usize,
@@ -80,36 +80,38 @@
     pub known: usize,
 }
 
-/// The local member's whole view.
+/// The local view with all counters.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Report {
     /// The fleet's name.
     pub fleet: String,
     /// The local member's name.
     pub name: String,
-    /// Its generation.
+    /// The local member's generation.
     pub generation: u64,
-    /// Its incarnation.
+    /// The local member's incarnation.
     pub incarnation: u32,
-    /// Members that are alive, itself among them; only itself while it is isolated.
+    /// Members that are alive, the local one included; only the local one while it is isolated or superseded.
     pub reached: usize,
-    /// Members that are known and have not left, itself among them.
+    /// Members that are known and have not left, the local one included.
     pub known: usize,
-    /// `reached` and `known` by zone.
+    /// `reached` and `known`, by zone.
     pub zones: Vec<ZoneReach>,
-    /// Several probes in a row were not answered.
+    /// Whether the local member is isolated: several of its probes in a row got no answer.
     pub isolated: bool,
-    /// It is isolated although messages of others arrive.
+    /// Whether the local member is isolated although messages of others arrive, which suggests that its own messages
+    /// are lost.
     pub unheard: bool,
-    /// A process with its name and a higher generation exists, so this one sends nothing.
+    /// Whether a process with the local member's name and a higher generation exists; the local one then sends
+    /// nothing.
     pub superseded: bool,
-    /// The local health score: 0 is healthy; each step lengthens its probe timeouts.
+    /// The local health score: 0 is healthy, and each step lengthens the probe timeouts.
     pub own_slowness: u32,
-    /// How often it refuted an accusation.
+    /// Accusations that the local member refuted.
     pub refuted: u64,
-    /// How often it was late itself.
+    /// Times that the local process was paused or got no CPU time.
     pub late: u64,
-    /// How often it met two processes of one name.
+    /// Messages of an outdated process that uses a known name.
     #[serde(rename = "twins")]
     pub name_conflicts: u64,
     /// The digest of the present members; equal views have equal digests.
@@ -118,6 +120,6 @@
     pub traffic: Traffic,
     /// Dropped messages and updates.
     pub dropped: Dropped,
-    /// All members but itself.
+    /// All members but the local one.
     pub members: Vec<MemberReport>,
 }
--- a/crates/membership/tests/mutation/mod.rs
+++ b/crates/membership/tests/mutation/mod.rs
@@ -1,15 +1,16 @@
-//! Mutated messages for the fuzz tests of both codecs, which have heads and checksums of one length.
+//! Mutation of messages, for the fuzz tests of the membership and the budget protocol. Both have a header of 11 bytes and a
+//! checksum of 4 bytes at the end.
 
 use std::path::PathBuf;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Where the messages are kept of the crate that is tested.
+/// The directory of the corpus of the package under test.
 pub fn corpus_dir() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/corpus")
 }
 
-/// Whatever was done to it, its checksum is right.
-fn seal(bytes: &mut [u8]) {
+/// Recomputes the checksum of a message.
+fn update_checksum(bytes: &mut [u8]) {
     if bytes.len() > 4 {
         let (covered, tail) = bytes.split_at_mut(bytes.len() - 4);
         let sum = xxh3_64(covered) as u32;
@@ -17,9 +18,10 @@
     }
 }
 
-/// A message to begin with and a few things done to it.
-pub fn mutate(rng: &mut fastrand::Rng, from: &[Vec<u8>]) -> Vec<u8> {
-    let mut bytes = from[rng.usize(..from.len())].clone();
+/// A random message of the corpus with a few random mutations after its header. In seven of eight cases its checksum is
+/// correct.
+pub fn mutate(rng: &mut fastrand::Rng, corpus: &[Vec<u8>]) -> Vec<u8> {
+    let mut bytes = corpus[rng.usize(..corpus.len())].clone();
     for _ in 0..1 + rng.usize(..4) {
         let length = bytes.len();
         let body = 11.min(length)..length;
@@ -31,7 +33,7 @@
             3 => bytes.insert(rng.usize(body), rng.u8(..)),
             4 => bytes[rng.usize(body)] = [0, 0xff, 0x80, 0x7f][rng.usize(..4)],
             _ => {
-                let other = &from[rng.usize(..from.len())];
+                let other = &corpus[rng.usize(..corpus.len())];
                 let at = rng.usize(body);
                 bytes.truncate(at);
                 bytes.extend_from_slice(other.get(at..).unwrap_or_default());
@@ -39,20 +41,20 @@
         }
     }
     if rng.u8(..8) > 0 {
-        seal(&mut bytes);
+        update_checksum(&mut bytes);
     }
     bytes
 }
 
-/// All that is kept.
+/// All messages of the corpus, ordered by file name.
 pub fn read_corpus() -> Vec<Vec<u8>> {
-    let entries = std::fs::read_dir(corpus_dir()).expect("the corpus");
-    let mut files: Vec<PathBuf> = entries.map(|entry| entry.expect("an entry").path()).collect();
+    let entries = std::fs::read_dir(corpus_dir()).expect("the corpus directory can be read");
+    let mut files: Vec<PathBuf> = entries.map(|entry| entry.expect("a directory entry").path()).collect();
     files.sort();
-    files.iter().map(|file| std::fs::read(file).expect("a file")).collect()
+    files.iter().map(|file| std::fs::read(file).expect("the file can be read")).collect()
 }
 
-/// How many rounds: those that `FUZZ_ROUNDS` says, else this number.
-pub fn rounds(usual: u64) -> u64 {
-    std::env::var("FUZZ_ROUNDS").ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+/// The number of rounds: the environment variable `FUZZ_ROUNDS`, or `default` if it is not set.
+pub fn rounds(default: u64) -> u64 {
+    std::env::var("FUZZ_ROUNDS").ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
--- a/crates/membership/tests/report_json.rs
+++ b/crates/membership/tests/report_json.rs
@@ -1,4 +1,4 @@
-//! The JSON of the report, which operators' tools read: names and order of its keys.
+//! The JSON of the report. Operators' tools depend on its keys.
 
 use cometcroft_membership::{Config, Membership, Name, Time};
 use std::net::{Ipv4Addr, SocketAddrV4};
