--- a/crates/consensus/src/chain.rs
+++ b/crates/consensus/src/chain.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// An epoch. Every epoch of a later bootstrap is later, whatever its number.
+/// An epoch. Epochs are ordered by bootstrap first: an epoch of a later bootstrap is later, whatever its number.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch {
     /// The ID of the bootstrap: the number of bootstraps so far ([`Epoch::bootstrap_count`]) above random bits; 0 if
@@ -66,13 +66,6 @@
     }
 }
 
-impl Position {
-    /// Whether this position is further on than `other`.
-    pub fn beyond(self, other: Position) -> bool {
-        (self.bootstrap_id, self.index) > (other.bootstrap_id, other.index)
-    }
-}
-
 /// A position in the log. A replica never goes back to an earlier one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Position {
@@ -84,6 +77,13 @@
     pub sum: u64,
 }
 
+impl Position {
+    /// Whether this position is further on than `other`.
+    pub fn beyond(self, other: Position) -> bool {
+        (self.bootstrap_id, self.index) > (other.bootstrap_id, other.index)
+    }
+}
+
 /// The encoded state after all entries up to a position, with its digest.
 #[derive(Debug, Clone)]
 pub(crate) struct Snapshot {
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -56,9 +56,9 @@
 impl Config {
     /// A configuration with default intervals.
     pub fn new(fleet: &str, address: SocketAddrV4, voters: Vec<SocketAddrV4>) -> Config {
-        let named = voters.iter().fold(fleet.to_owned(), |all, voter| format!("{all}|{voter}"));
+        let identity = voters.iter().fold(fleet.to_owned(), |all, voter| format!("{all}|{voter}"));
         Config {
-            digest: xxh3_64(named.as_bytes()),
+            digest: xxh3_64(identity.as_bytes()),
             address,
             voters,
             tick_interval: Duration::from_millis(40),
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -9,7 +9,7 @@
     /// The log was never bootstrapped, as far as is known.
     #[error("this fleet's plan was never founded, or every copy of it is lost")]
     NotBootstrapped,
-    /// There was no answer in time, so it is not known whether the command was decided.
+    /// There was no answer within this time, so it is not known whether the command was decided.
     #[error("no answer within {0:?}: the word may have been taken or not")]
     Unknown(Duration),
     /// Fewer voters than a majority answer.
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -58,7 +58,7 @@
     voters_index: u64,
     snapshot: Option<Snapshot>,
     voter: Option<Voter>,
-    /// The highest bootstrap ID that the local member voted for or knows.
+    /// The ID of the last bootstrap that the local member voted for or knows.
     last_vote: u64,
     /// When the local voter last granted a vote.
     voted_at: Option<Time>,
--- a/crates/consensus/src/log/inbound.rs
+++ b/crates/consensus/src/log/inbound.rs
@@ -28,12 +28,12 @@
                 self.handle_omnipaxos(now, sender, CountedMessage { epoch, count, message });
             }
             Body::Propose(command) => self.handle_proposal(now, &command),
-            Body::Position { position, wants } => {
+            Body::Position { position, unthrottled } => {
                 if let Some(voter) = voter {
                     let applicant = Applicant { start: sender.start, position, last_received: now };
                     self.applicants.insert(voter, applicant);
                 }
-                self.handle_position(now, from, position, wants);
+                self.handle_position(now, from, position, unthrottled);
             }
             Body::Entries(batch) => self.handle_entries(now, from, batch),
             Body::SnapshotChunk(chunk) => self.handle_snapshot_chunk(now, from, chunk),
--- a/crates/consensus/src/log/replication.rs
+++ b/crates/consensus/src/log/replication.rs
@@ -41,10 +41,10 @@
         }
     }
 
-    /// Sends a member the local position, and requests the entries after it if `wants` is set.
-    pub(super) fn send_position(&mut self, to: SocketAddrV4, wants: bool) {
+    /// Sends a member the local position; [`Body::Position`] describes `unthrottled`.
+    pub(super) fn send_position(&mut self, to: SocketAddrV4, unthrottled: bool) {
         let position = self.position();
-        self.send(to, &Body::Position { position, wants });
+        self.send(to, &Body::Position { position, unthrottled });
     }
 
     /// A random other member: a near one in three of four cases, or a voter if no peer is known yet.
@@ -62,11 +62,17 @@
 
     /// Handles another member's position: sends it the entries that it lacks, or requests those that the local member
     /// lacks.
-    pub(super) fn handle_position(&mut self, now: Time, from: SocketAddrV4, position: Position, wants: bool) {
+    pub(super) fn handle_position(
+        &mut self,
+        now: Time,
+        from: SocketAddrV4,
+        position: Position,
+        unthrottled: bool,
+    ) {
         let own = self.position();
         if own.beyond(position) {
             self.send_entries_after(from, position);
-        } else if position.beyond(own) && (wants || self.may_request(now)) {
+        } else if position.beyond(own) && (unthrottled || self.may_request(now)) {
             self.request_entries(now, from);
         }
     }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -80,7 +80,7 @@
     pub position: Position,
     /// The leader, if the sender is a voter and knows one.
     pub leader: Option<u8>,
-    /// The highest bootstrap ID that the sender voted for or knows.
+    /// The ID of the last bootstrap that the sender voted for or knows.
     pub last_vote: u64,
 }
 
@@ -100,8 +100,9 @@
     OmniPaxos { epoch: Epoch, count: u64, message: OmniPaxosMessage<EncodedEntry> },
     /// A command that the receiver, a voter, is to propose.
     Propose(Vec<u8>),
-    /// The sender's position, and whether it requests the entries that it lacks.
-    Position { position: Position, wants: bool },
+    /// The sender's position. A receiver that is further on sends the entries that the sender lacks; one that is behind
+    /// requests entries, and with `unthrottled` does so regardless of the minimum interval between requests.
+    Position { position: Position, unthrottled: bool },
     /// Entries after an index.
     Entries(EntryBatch),
     /// A chunk of a snapshot.
--- a/crates/consensus/src/message/tests.rs
+++ b/crates/consensus/src/message/tests.rs
@@ -53,7 +53,7 @@
     let bytes = vec![4, 5, 6];
     let chunk = SnapshotChunk { position, digest: 8, total: 200, offset: 7, bytes };
     assert_eq!(
-        hex(&Body::Position { position, wants: true }),
+        hex(&Body::Position { position, unthrottled: true }),
         "636c01204c2aa3ee551819818080f807d936ac020280804082010901c708ab6f"
     );
     assert_eq!(
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -52,8 +52,8 @@
 struct EventCounters {
     /// Refuted accusations.
     refuted: u64,
-    /// Calls by the driver that came much later than requested.
-    late: u64,
+    /// Pauses of the local process: calls by the driver that came much later than requested.
+    pauses: u64,
     /// Messages of an outdated process that uses a known name.
     name_conflicts: u64,
 }
@@ -188,7 +188,7 @@
         if late_by <= self.timing().direct_timeout || !self.features().local_health {
             return;
         }
-        self.events.late += 1;
+        self.events.pauses += 1;
         self.health.degrade();
         self.probing.abandon(self.now + self.timing().direct_timeout);
         self.extend_suspicions(late_by);
--- a/crates/membership/src/report.rs
+++ b/crates/membership/src/report.rs
@@ -48,9 +48,11 @@
     /// The member's state: `alive`, `suspect`, `gone` or `left`.
     pub state: &'static str,
     /// Time since the member entered this state, in milliseconds.
-    pub for_ms: u64,
+    #[serde(rename = "for_ms")]
+    pub in_state_ms: u64,
     /// Time since the member's own last message arrived, in milliseconds; `None` if none did.
-    pub heard_ms: Option<u64>,
+    #[serde(rename = "heard_ms")]
+    pub last_received_ms: Option<u64>,
     /// The member's generation.
     pub generation: u64,
     /// The member's incarnation.
@@ -106,11 +108,13 @@
     /// nothing.
     pub superseded: bool,
     /// The local health score: 0 is healthy, and each step lengthens the probe timeouts.
-    pub own_slowness: u32,
+    #[serde(rename = "own_slowness")]
+    pub health_score: u32,
     /// Accusations that the local member refuted.
     pub refuted: u64,
     /// Times that the local process was paused or got no CPU time.
-    pub late: u64,
+    #[serde(rename = "late")]
+    pub pauses: u64,
     /// Messages of an outdated process that uses a known name.
     #[serde(rename = "twins")]
     pub name_conflicts: u64,
