--- a/crates/plan/src/command.rs
+++ b/crates/plan/src/command.rs
@@ -1,173 +1,176 @@
-//! What can be said.
+//! The commands that change the plan, as they are written to the replicated log.
 
 use crate::error::PlanError;
 use serde::{Deserialize, Serialize};
 
-/// A word's own number, made by whoever says it: said twice, it is done once.
+/// Identifies a command, drawn by its proposer. A command that reaches the log twice is applied once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CommandId(pub u64);
 
-/// What is out with a permit.
+/// What a permit takes out of service.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PermitTarget {
-    /// A sidecar, by its name and start: it restarts or drains.
+    /// A sidecar that restarts or drains.
     Sidecar {
-        /// Its name.
+        /// Name of the sidecar.
         name: String,
-        /// Its start.
+        /// Generation of the process; a later start has a higher one.
         generation: u64,
     },
-    /// A backend server by its name: it is to be drained.
+    /// An endpoint that is drained, by its name.
     Endpoint(String),
 }
 
 impl PermitTarget {
-    /// Its name.
+    /// The name of the sidecar or endpoint.
     pub fn name(&self) -> &str {
         match self {
             PermitTarget::Sidecar { name, .. } | PermitTarget::Endpoint(name) => name,
         }
     }
 
-    /// Whether it is a backend server.
+    /// Whether the target is an endpoint.
     pub fn is_endpoint(&self) -> bool {
         matches!(self, PermitTarget::Endpoint(_))
     }
 }
 
-/// What is said.
+/// A change of the plan. The log and snapshots store variants by their position, so new ones go to the end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Nothing: whoever sees it applied has read all before it.
+    /// Changes nothing. A reader that sees it applied has seen every command before it.
     Noop,
-    /// A new revision for all at once.
+    /// Puts a new revision in force for all sidecars at once.
     Propose {
-        /// Its text.
+        /// Text of the revision.
         text: String,
     },
-    /// A past revision's content for all at once, under a new number. It ends a release.
+    /// Puts the content of a past revision in force for all sidecars at once, under a new number. Ends a release in
+    /// progress.
     RollBackTo {
-        /// Which.
+        /// The past revision.
         revision: u32,
     },
-    /// Whether a revision is kept for ever.
+    /// Pins or unpins a revision. A pinned revision is never evicted.
     Pin {
-        /// Which.
+        /// The revision.
         revision: u32,
-        /// Whether.
+        /// Whether the revision is pinned from now on.
         pinned: bool,
     },
-    /// A new revision in waves.
+    /// Starts a release: a new revision that reaches the sidecars in waves.
     Release {
-        /// Its text.
+        /// Text of the revision.
         text: String,
-        /// The share of the sidecars that have it after each wave, in thousandths.
+        /// Share of the sidecars that each wave reaches, in thousandths.
         waves: Vec<u16>,
     },
-    /// The leader: the release goes on to this wave; one after the last ends it.
+    /// From the leader: starts the next wave of a release. The number after the last wave completes the release.
     AdvanceWave {
-        /// Which release.
+        /// The revision that is released.
         revision: u32,
-        /// Which wave.
+        /// The wave that starts.
         wave: u32,
     },
-    /// No permit and no wave from here on.
+    /// Stops permits from being granted and releases from starting or advancing. Proposals and rollbacks remain
+    /// possible.
     Halt,
-    /// The end of that.
+    /// Ends a halt.
     Resume,
-    /// The release is undone, wave by wave.
+    /// Starts to roll back the release in progress, wave by wave.
     RollBackRelease,
-    /// The leader: the way back has reached this wave; 0 ends it.
+    /// From the leader: rolls a release back to this wave; 0 ends the release.
     RollBackWave {
-        /// Which release.
+        /// The revision that is rolled back.
         revision: u32,
-        /// Which wave.
+        /// The wave that is reached.
         wave: u32,
     },
-    /// A permit is wanted.
+    /// Requests a permit.
     RequestPermit {
-        /// For what.
+        /// What is to be taken out of service.
         target: PermitTarget,
-        /// In which zone it is.
+        /// Zone of the target.
         zone: String,
-        /// At which tier.
+        /// Tier of the target.
         tier: u8,
-        /// After so many seconds it is shown as overdue.
+        /// Seconds after which the permit is shown as overdue.
         overdue_after_s: u32,
     },
-    /// The leader: the permit is given; these are dead or missing, of so many.
+    /// From the leader: grants a permit if the outage limit leaves room for it.
     GrantPermit {
-        /// Which.
+        /// Number of the permit.
         permit: u32,
-        /// Who is not there, in the permit's own zone and tier.
+        /// Sidecars in the permit's zone and tier that are dead or not ready.
         missing: Vec<String>,
-        /// How many there are.
+        /// Number of sidecars in the permit's zone and tier.
         total: u32,
     },
-    /// The leader: nobody sends there any more.
+    /// From the leader: no sidecar sends to the target any more.
     MarkClear {
-        /// Which permit.
+        /// Number of the permit.
         permit: u32,
     },
-    /// An operator: it counts as clear, whoever has not confirmed.
+    /// From an operator: treats the permit as clear although not every sidecar has confirmed it.
     ForceClear {
-        /// Which permit.
+        /// Number of the permit.
         permit: u32,
     },
-    /// It is given back, or no longer wanted.
+    /// Returns a permit, or withdraws the request for it.
     ReturnPermit {
-        /// Which permit.
+        /// Number of the permit.
         permit: u32,
     },
-    /// The leader: retries storm, or no longer do.
+    /// From the leader: a retry storm has started or ended.
     SetStorm {
-        /// Whether.
+        /// Whether there is a storm from now on.
         active: bool,
-        /// How many times it has changed before.
+        /// Number of changes before this one.
         sequence: u32,
     },
 }
 
-/// A word, with who says it and why.
+/// A command as the log holds it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandEntry {
-    /// Its number.
+    /// Identifier of the command.
     pub id: CommandId,
-    /// At which door or by which leader.
+    /// Name of the sidecar whose operations endpoint accepted the command, or of the leader.
     pub proposed_by: String,
-    /// Why.
+    /// Why the command was given.
     pub reason: String,
-    /// When, in milliseconds since the Unix epoch, by the clock there; shown, never compared.
+    /// Time of the proposal by the proposer's clock, in milliseconds since the Unix epoch. Shown to operators; no
+    /// decision depends on it.
     pub unix_ms: u64,
-    /// The revision that must be in force.
+    /// If set, the command is rejected unless this revision is in force.
     pub expected_revision: Option<u32>,
-    /// What.
+    /// The command.
     pub command: Command,
 }
 
 impl CommandEntry {
-    /// As the log holds it.
+    /// The bytes of the entry.
     pub fn encode(&self) -> Vec<u8> {
-        // Our own types always have a form; without one it would be refused as unreadable.
+        // Encoding these types cannot fail. Empty bytes would be counted as unreadable when they are applied.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads it.
+    /// Reads an entry; `None` if this version cannot read the bytes.
     pub fn decode(bytes: &[u8]) -> Option<CommandEntry> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
-/// What came of a word.
+/// The result of a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandOutcome {
-    /// It was taken, as this entry of the log; the number of the revision or permit that it made or concerns.
+    /// The command was applied.
     Applied {
-        /// The entry.
+        /// Index of the log entry.
         index: u64,
-        /// The number.
+        /// Number of the revision or permit that the command made or concerns; for a storm, the number of changes.
         number: u32,
     },
-    /// It was not.
+    /// The command was rejected.
     Rejected(PlanError),
 }
--- a/crates/plan/src/controller.rs
+++ b/crates/plan/src/controller.rs
@@ -1,4 +1,7 @@
-//! What only the leader says. It says it as any other word: by compare and set, so that two who think they lead do it once.
+//! The leader's controller: derives the commands that only the leader proposes from the plan and the fleet's state.
+//!
+//! The leader proposes them as any other command. Each names the state that it starts from and is rejected in any
+//! other, so two sidecars that both believe to lead cause each step only once.
 
 use crate::command::{Command, CommandId, PermitTarget};
 use crate::plan::{Checks, PermitState, Plan, ReleasePhase, release_position};
@@ -6,156 +9,180 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How a sidecar is held to be.
+/// Period over which attempts are summed to detect a retry storm.
+const STORM_WINDOW: Duration = Duration::from_secs(1);
+/// Minimum number of first attempts in a window; with fewer, the ratio of retries says nothing and counts as 0.
+const MIN_FIRST_ATTEMPTS: u64 = 20;
+/// Maximum number of sidecars whose attempts are summed.
+const MAX_COUNTED_SIDECARS: usize = 100_000;
+/// Delay before the controller tries again to grant a permit that did not fit into the outage limit.
+const GRANT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The same delay if the reason is the one that the permit has on record.
+const GRANT_RETRY_DELAY_UNCHANGED: Duration = Duration::from_millis(500);
+
+/// The state of a sidecar in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// It is there.
+    /// The sidecar takes part in the fleet.
     Alive,
-    /// It can't be reached: dead, or cut off and still sending.
+    /// The sidecar cannot be reached: it is dead, or cut off and may still send requests.
     Unreachable,
-    /// It has ended in order.
+    /// The sidecar has shut down in an orderly way.
     Left,
 }
 
-/// Where a sidecar stands, as the leader knows.
+/// What the leader knows of a sidecar.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SidecarStatus {
-    /// Its name.
+    /// The sidecar's name.
     pub name: String,
-    /// Its start.
+    /// Generation of the process; a later start has a higher one.
     pub generation: u64,
-    /// Its zone.
+    /// The sidecar's zone.
     pub zone: String,
-    /// Its tier.
+    /// The sidecar's tier.
     pub tier: u8,
-    /// How it is held to be.
+    /// The sidecar's state in the fleet.
     pub state: MemberState,
-    /// The entry up to which it has put the plan in force; 0 if it has not said so.
+    /// Index of the log entry up to which the sidecar has confirmed the plan to be in force; 0 without a confirmation.
     pub confirmed_index: u64,
-    /// It takes clients.
+    /// Whether the sidecar accepts clients.
     pub ready: bool,
 }
 
-/// The leader's own part.
+/// Derives the leader's commands. Holds only what can be lost with the leader.
 #[derive(Debug, Default)]
 pub struct Controller {
     checks: Checks,
-    /// What sidecars counted of first tries and retries lately.
-    tries: BTreeMap<String, (u64, u64)>,
-    window: Option<Duration>,
-    /// Since when the share has been beyond the bound that matters now.
-    beyond: Option<Duration>,
-    /// A grant that found no room is not said again before this.
-    refused: BTreeMap<u32, Duration>,
+    /// First attempts and retries in this window, by sidecar.
+    attempts: BTreeMap<String, (u64, u64)>,
+    window_start: Option<Duration>,
+    /// Since when the ratio of retries has been beyond the bound that starts or ends a storm.
+    beyond_since: Option<Duration>,
+    /// When to try again to grant a permit that did not fit into the outage limit.
+    grant_retry_at: BTreeMap<u32, Duration>,
 }
 
-/// Tries are added up over so long.
-const WINDOW: Duration = Duration::from_millis(1000);
-/// Fewer first tries than this show nothing.
-const FEW: u64 = 20;
-const AGAIN: Duration = Duration::from_secs(5);
-
 impl Controller {
-    /// One with a planted defect.
+    /// A controller with some checks switched off, for tests.
     pub fn with_checks(checks: Checks) -> Controller {
         Controller { checks, ..Controller::default() }
     }
 
-    /// A sidecar tells what it counted since it told before.
-    pub fn record_attempts(&mut self, name: &str, tries: (u64, u64)) {
-        if self.tries.len() < 100_000 {
-            let all = self.tries.entry(name.to_owned()).or_default();
-            *all = (all.0 + tries.0, all.1 + tries.1);
+    /// Adds the first attempts and retries that a sidecar has counted since its previous report.
+    pub fn record_attempts(&mut self, name: &str, counts: (u64, u64)) {
+        if self.attempts.len() < MAX_COUNTED_SIDECARS {
+            let sum = self.attempts.entry(name.to_owned()).or_default();
+            *sum = (sum.0 + counts.0, sum.1 + counts.1);
         }
     }
 
-    /// The number of a leader's word, thought of at this entry of the log: two who think they lead say it once.
+    /// The identifier of a leader's command, from the command and the index of the last entry that the leader has
+    /// applied. Two sidecars that both believe to lead propose the same command under one identifier, and it is applied
+    /// once.
     pub fn command_id(command: &Command, index: u64) -> CommandId {
         CommandId(xxh3_64(&postcard::to_stdvec(&(command, index)).unwrap_or_default()) | 1)
     }
 
-    /// Who holds a permit's clear up, of all who could send there.
+    /// The sidecars that may still send to the target of a granted permit, as they have not confirmed the grant. The
+    /// permit is not clear before there are none.
     pub fn unconfirmed_sidecars<'a>(
         &self,
         plan: &Plan,
         permit: u32,
-        all: &'a [SidecarStatus],
+        fleet: &'a [SidecarStatus],
     ) -> Vec<&'a SidecarStatus> {
         let Some(permit) = plan.permits().get(&permit) else { return Vec::new() };
         let PermitState::Granted { index } = permit.state else { return Vec::new() };
-        let could = |it: &&SidecarStatus| match it.state {
+        let unconfirmed = |sidecar: &&SidecarStatus| match sidecar.state {
             MemberState::Left => false,
-            // Danger: one that is cut off still sends; only its end, or its own word, shows that it does not.
-            MemberState::Unreachable => self.checks.wait_for_unreachable && it.confirmed_index < index,
-            MemberState::Alive => it.confirmed_index < index,
+            // A sidecar that is cut off still sends. Only its shutdown or its own confirmation shows that it has
+            // stopped.
+            MemberState::Unreachable => self.checks.wait_for_unreachable && sidecar.confirmed_index < index,
+            MemberState::Alive => sidecar.confirmed_index < index,
         };
-        all.iter().filter(could).filter(|it| it.tier == permit.tier).collect()
+        fleet.iter().filter(unconfirmed).filter(|sidecar| sidecar.tier == permit.tier).collect()
     }
 
-    /// The next word to be said, if any.
-    pub fn next_command(&mut self, plan: &Plan, now: Duration, all: &[SidecarStatus]) -> Option<Command> {
-        self.refused.retain(|number, until| *until > now && plan.permits().contains_key(number));
+    /// The next command for the leader to propose, if any.
+    pub fn next_command(&mut self, plan: &Plan, now: Duration, fleet: &[SidecarStatus]) -> Option<Command> {
+        self.grant_retry_at.retain(|number, at| *at > now && plan.permits().contains_key(number));
         for (&number, permit) in plan.permits() {
             match &permit.state {
-                PermitState::Waiting if plan.halted_by().is_none() && !self.refused.contains_key(&number) => {
-                    let beside = |it: &&SidecarStatus| it.zone == permit.zone && it.tier == permit.tier;
+                PermitState::Waiting
+                    if plan.halted_by().is_none() && !self.grant_retry_at.contains_key(&number) =>
+                {
+                    let same_limit =
+                        |sidecar: &&SidecarStatus| sidecar.zone == permit.zone && sidecar.tier == permit.tier;
                     let (missing, total) = if permit.target.is_endpoint() {
                         (Vec::new(), 0)
                     } else {
-                        let gone = |it: &&SidecarStatus| it.state != MemberState::Alive || !it.ready;
-                        let names = all.iter().filter(beside).filter(gone).map(|it| it.name.clone());
-                        let mut missing: Vec<String> = names.collect();
+                        let unavailable =
+                            |sidecar: &&SidecarStatus| sidecar.state != MemberState::Alive || !sidecar.ready;
+                        let mut missing: Vec<String> = fleet
+                            .iter()
+                            .filter(same_limit)
+                            .filter(unavailable)
+                            .map(|sidecar| sidecar.name.clone())
+                            .collect();
                         missing.sort_unstable();
-                        (missing, all.iter().filter(beside).count() as u32)
+                        (missing, fleet.iter().filter(same_limit).count() as u32)
                     };
-                    let room = plan.check_outage_limit(number, &missing, total);
-                    let known =
-                        room.as_ref().err().is_some_and(|why| Some(why) == permit.blocked_by.as_ref());
-                    if room.is_err() {
-                        self.refused.insert(number, now + if known { AGAIN / 10 } else { AGAIN / 50 });
+                    let within_limit = plan.check_outage_limit(number, &missing, total);
+                    let recorded = within_limit
+                        .as_ref()
+                        .err()
+                        .is_some_and(|reason| Some(reason) == permit.blocked_by.as_ref());
+                    if within_limit.is_err() {
+                        let delay = if recorded { GRANT_RETRY_DELAY_UNCHANGED } else { GRANT_RETRY_DELAY };
+                        self.grant_retry_at.insert(number, now + delay);
                     }
-                    // What it waits for is put on record once.
-                    if !known {
+                    // A grant beyond the limit is proposed too, once for each reason: its rejection records the reason
+                    // in the permit, where operators see it.
+                    if !recorded {
                         return Some(Command::GrantPermit { permit: number, missing, total });
                     }
                 }
                 PermitState::Granted { .. }
                     if permit.target.is_endpoint()
-                        && self.unconfirmed_sidecars(plan, number, all).is_empty()
-                        && !all.is_empty() =>
+                        && self.unconfirmed_sidecars(plan, number, fleet).is_empty()
+                        && !fleet.is_empty() =>
                 {
                     return Some(Command::MarkClear { permit: number });
                 }
                 // A sidecar that is back under a later start no longer needs its permit.
                 PermitState::Granted { .. } => {
                     let PermitTarget::Sidecar { name, generation } = &permit.target else { continue };
-                    let back = |it: &SidecarStatus| {
-                        it.name == *name
-                            && it.generation > *generation
-                            && it.state == MemberState::Alive
-                            && it.ready
+                    let restarted = |sidecar: &SidecarStatus| {
+                        sidecar.name == *name
+                            && sidecar.generation > *generation
+                            && sidecar.state == MemberState::Alive
+                            && sidecar.ready
                     };
-                    if all.iter().any(back) {
+                    if fleet.iter().any(restarted) {
                         return Some(Command::ReturnPermit { permit: number });
                     }
                 }
                 _ => {}
             }
         }
-        self.release(plan, all).or_else(|| self.storm(plan, now))
+        self.next_wave(plan, fleet).or_else(|| self.detect_storm(plan, now))
     }
 
-    fn release(&self, plan: &Plan, all: &[SidecarStatus]) -> Option<Command> {
+    fn next_wave(&self, plan: &Plan, fleet: &[SidecarStatus]) -> Option<Command> {
         let release = plan.release()?;
         let (revision, wave) = (release.revision, release.wave);
-        // Whoever the last step concerned has it in force and takes clients.
-        let settled = |it: &SidecarStatus| match it.state {
-            MemberState::Alive => it.ready && it.confirmed_index >= plan.last_step_index(),
-            // Danger: a wave that goes on while part of the fleet is missing may be what made it so.
-            MemberState::Unreachable => release_position(&it.name, revision) >= release.reached_permille(),
+        // The next step waits until every sidecar has the last one in force and accepts clients.
+        let settled = |sidecar: &SidecarStatus| match sidecar.state {
+            MemberState::Alive => sidecar.ready && sidecar.confirmed_index >= plan.last_step_index(),
+            // A sidecar that the release has reached and that is now unreachable may have failed because of the release,
+            // so the release does not go on.
+            MemberState::Unreachable => {
+                release_position(&sidecar.name, revision) >= release.reached_permille()
+            }
             MemberState::Left => true,
         };
-        if all.is_empty() || !all.iter().all(settled) {
+        if fleet.is_empty() || !fleet.iter().all(settled) {
             return None;
         }
         match release.phase {
@@ -169,32 +196,34 @@
         }
     }
 
-    fn storm(&mut self, plan: &Plan, now: Duration) -> Option<Command> {
+    fn detect_storm(&mut self, plan: &Plan, now: Duration) -> Option<Command> {
         let content = plan.content(plan.current());
         let Some(rule) = &content.storm else {
-            self.tries.clear();
-            let (on, turn) = plan.storm();
-            return on.then_some(Command::SetStorm { active: false, sequence: turn });
+            self.attempts.clear();
+            let (active, sequence) = plan.storm();
+            return active.then_some(Command::SetStorm { active: false, sequence });
         };
-        let began = *self.window.get_or_insert(now);
-        if now < began + WINDOW {
+        let window_start = *self.window_start.get_or_insert(now);
+        if now < window_start + STORM_WINDOW {
             return None;
         }
-        self.window = Some(now);
-        let sum = self.tries.values().fold((0, 0), |all, each| (all.0 + each.0, all.1 + each.1));
-        self.tries.clear();
-        let share = if sum.0 < FEW { 0.0 } else { sum.1 as f64 / sum.0 as f64 };
-        let (on, turn) = plan.storm();
-        let beyond = if on { share < rule.end_below } else { share > rule.start_above };
+        self.window_start = Some(now);
+        let (first_attempts, retries) =
+            self.attempts.values().fold((0, 0), |sum, counts| (sum.0 + counts.0, sum.1 + counts.1));
+        self.attempts.clear();
+        let ratio =
+            if first_attempts < MIN_FIRST_ATTEMPTS { 0.0 } else { retries as f64 / first_attempts as f64 };
+        let (active, sequence) = plan.storm();
+        let beyond = if active { ratio < rule.end_below } else { ratio > rule.start_above };
         if !beyond {
-            self.beyond = None;
+            self.beyond_since = None;
             return None;
         }
-        let since = *self.beyond.get_or_insert(now);
+        let since = *self.beyond_since.get_or_insert(now);
         if now < since + rule.hold.exact() {
             return None;
         }
-        self.beyond = None;
-        Some(Command::SetStorm { active: !on, sequence: turn })
+        self.beyond_since = None;
+        Some(Command::SetStorm { active: !active, sequence })
     }
 }
--- a/crates/plan/src/error.rs
+++ b/crates/plan/src/error.rs
@@ -1,93 +1,96 @@
-//! Why a word is not taken, and what an operator can do.
+//! Reasons for which a command is rejected, and what an operator can do about each.
+//!
+//! Display texts and remedies are sent to operators as JSON, and errors are stored in the replicated state: changing a
+//! text, a code or the order of the variants changes an interface.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Why a word is not taken; each with a code that stays.
+/// Why a command is rejected. Each reason has a stable code.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum PlanError {
-    /// The text makes no sense.
+    /// The revision's text is not valid.
     #[error("{0}")]
     InvalidContent(String),
-    /// Another revision is in force than the word expects.
+    /// The revision in force is not the one that the command expects.
     #[error("revision {found} is in force, the word expects {expected}")]
     UnexpectedRevision {
-        /// What was expected.
+        /// The revision that the command expects.
         expected: u32,
-        /// What is.
+        /// The revision in force.
         found: u32,
     },
-    /// A revision that is not kept.
+    /// The revision is not or no longer kept.
     #[error("revision {requested} is not kept; the oldest that is kept is {oldest}, the newest {newest}")]
     RevisionNotKept {
-        /// Which.
+        /// The revision that was requested.
         requested: u32,
-        /// The oldest.
+        /// The oldest revision that is kept.
         oldest: u32,
-        /// The newest.
+        /// The newest revision.
         newest: u32,
     },
-    /// A release goes on.
+    /// A release is in progress, of this revision.
     #[error("the release of revision {0} goes on")]
     ReleaseInProgress(u32),
-    /// There is none.
+    /// No release is in progress.
     #[error("no release goes on")]
     NoRelease,
-    /// Everything is halted.
+    /// Permits and releases are halted; names the sidecar that proposed the halt.
     #[error("halted by {0}")]
     Halted(String),
-    /// A wave that is not the next.
+    /// The wave or the storm change is not the next in its sequence.
     #[error("wave {requested} is not next, the release stands at {current}")]
     OutOfSequence {
-        /// Which.
+        /// The number that was requested.
         requested: u32,
-        /// Where it stands.
+        /// The number that has been reached.
         current: u32,
     },
-    /// Waves that do not grow up to the whole.
+    /// The waves do not increase to 1000 thousandths.
     #[error("waves must grow, from over 0 to 1000 thousandths")]
     InvalidWaves,
-    /// A permit that is not known.
+    /// There is no permit of this number.
     #[error("there is no permit {0}")]
     UnknownPermit(u32),
-    /// A permit that can't go from its state there.
+    /// The permit's state does not allow the command: number and present state.
     #[error("permit {0} is {1}")]
     WrongPermitState(u32, String),
-    /// Too many would be out.
+    /// Too many sidecars or endpoints would be out of service.
     #[error("{out} are out of {allowed} allowed: {names}")]
     TooManyOut {
-        /// So many are out, dead or missing.
+        /// Number that is out of service, dead or missing.
         out: u32,
-        /// So many may be.
+        /// Number that is allowed.
         allowed: u32,
-        /// Who.
+        /// Names of those that are out of service, at most eight.
         names: String,
     },
-    /// One that has a permit or waits for one.
+    /// The target holds or waits for a permit: name and permit number.
     #[error("{0} has permit {1} already")]
     PermitExists(String, u32),
-    /// Bars that leave too little.
+    /// Too few endpoints would remain usable.
     #[error("{field}: the rules leave {left} of {total} backend servers, keep is {min_share}")]
     TooFewLeft {
-        /// The rule.
+        /// The rule or the command that excludes them.
         field: String,
-        /// So many are left.
+        /// Number of endpoints that would remain.
         left: u32,
-        /// Of so many.
+        /// Number of endpoints in all.
         total: u32,
-        /// The share that must be left, as text.
+        /// Share that must remain. As text, because `f64` does not implement `Eq`.
         min_share: String,
     },
-    /// A table that is full.
+    /// The maximum number of pinned revisions or of permits is reached.
     #[error("{0} are kept at most")]
     TableFull(u32),
-    /// Bytes that no word has.
+    /// The bytes do not decode to a command.
     #[error("the word can't be read by this version")]
     Unreadable,
 }
 
 impl PlanError {
-    /// A code that stays.
+    /// A stable code, for programs.
     pub fn code(&self) -> &'static str {
         match self {
             PlanError::InvalidContent(_) => "plan.content",
@@ -108,7 +111,7 @@
         }
     }
 
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn remedy(&self) -> &'static str {
         match self {
             PlanError::InvalidContent(_) => {
@@ -141,22 +144,22 @@
         }
     }
 
-    /// One of each, for whoever lists the codes.
+    /// One example of each variant, to list the codes.
     pub fn all() -> Vec<PlanError> {
-        let who = || "n1".to_owned();
+        let name = || "n1".to_owned();
         vec![
             PlanError::InvalidContent("revision:1:1: x".into()),
             PlanError::UnexpectedRevision { expected: 1, found: 2 },
             PlanError::RevisionNotKept { requested: 1, oldest: 2, newest: 3 },
             PlanError::ReleaseInProgress(1),
             PlanError::NoRelease,
-            PlanError::Halted(who()),
+            PlanError::Halted(name()),
             PlanError::OutOfSequence { requested: 1, current: 0 },
             PlanError::InvalidWaves,
             PlanError::UnknownPermit(1),
             PlanError::WrongPermitState(1, "out".into()),
-            PlanError::TooManyOut { out: 1, allowed: 1, names: who() },
-            PlanError::PermitExists(who(), 1),
+            PlanError::TooManyOut { out: 1, allowed: 1, names: name() },
+            PlanError::PermitExists(name(), 1),
             PlanError::TooFewLeft { field: "server".into(), left: 1, total: 4, min_share: "0.5".into() },
             PlanError::TableFull(1),
             PlanError::Unreadable,
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,6 +1,11 @@
-//! What a fleet has agreed on, as a machine without I/O: [`Plan`] reads the words of the log in their order and is the same
-//! on all. [`Content`] is a revision's text, [`Throttle`] spends what its retry policies allow, and [`steward`] says what
-//! only the leader says: grants, clear, the next wave, storms.
+//! The replicated plan of a fleet: routing revisions with rollback, releases in waves, drain and restart permits, and
+//! retry policies. The package does no I/O.
+//!
+//! - [`Plan`] is the state machine. It applies the commands of the replicated log in their order, with the same result
+//!   on all sidecars.
+//! - [`RevisionContent`] is the parsed text of a revision.
+//! - [`Controller`] derives the commands that only the leader proposes: grants, clear permits, the next wave, storms.
+//! - [`RetryThrottle`] applies a revision's retry rules to the attempts of one sidecar.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -1,4 +1,4 @@
-//! What has been agreed, word for word.
+//! The replicated state machine: applies the commands of the log in their order.
 
 use crate::command::{Command, CommandEntry, CommandId, CommandOutcome, PermitTarget};
 use crate::content::{OutageKind, RevisionContent};
@@ -10,26 +10,33 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Revisions that are kept, pinned ones among them; bytes of their texts; permits; answers that are remembered.
-const REVISIONS: usize = 64;
-const TEXTS: usize = 256 << 10;
-const PERMITS: usize = 256;
-const ANSWERS: usize = 512;
-/// Names that a permit's missing are cut to.
-const MISSING: usize = 64;
-
-/// Parts that can be left out, as planted defects do.
+/// Maximum number of revisions that are kept. At most half of them can be pinned.
+const MAX_REVISIONS: usize = 64;
+/// Maximum size of the texts of all revisions that are kept.
+const MAX_TEXT_BYTES_TOTAL: usize = 256 << 10;
+/// Maximum number of permits and permit requests.
+const MAX_PERMITS: usize = 256;
+/// Maximum number of command outcomes that are remembered.
+const MAX_OUTCOMES: usize = 512;
+/// Maximum number of missing sidecars that are counted for a permit.
+const MAX_MISSING: usize = 64;
+/// Maximum number of waves of a release.
+const MAX_WAVES: usize = 20;
+/// Maximum number of names that [`PlanError::TooManyOut`] lists.
+const MAX_NAMES_IN_ERROR: usize = 8;
+
+/// Checks that tests can switch off. Each one that is off is an injected defect that the test must find.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Checks {
-    /// A word that expects another revision is refused.
+    /// Reject a command that expects another revision than the one in force.
     pub expected_revision: bool,
-    /// A permit is given once.
+    /// Reject the grant of a permit that is granted already.
     pub single_grant: bool,
-    /// Who is dead or missing counts against the limit.
+    /// Count dead and missing sidecars against the outage limit.
     pub count_missing: bool,
-    /// A halt binds.
+    /// Reject grants and waves while halted.
     pub halt: bool,
-    /// Clear waits for who is cut off.
+    /// Wait for the confirmation of unreachable sidecars before a permit is clear.
     pub wait_for_unreachable: bool,
 }
 
@@ -45,72 +52,72 @@
     }
 }
 
-/// A revision.
+/// A revision that is kept. Its text is stored by its digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
-    /// The digest of its content.
+    /// Digest of the text.
     pub digest: u64,
-    /// At which door it was said.
+    /// Name of the sidecar whose operations endpoint accepted the revision; empty for revision 0.
     pub proposed_by: String,
-    /// Why.
+    /// Why the revision was proposed.
     pub reason: String,
-    /// When, by the clock there.
+    /// Time of the proposal by the proposer's clock, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
-    /// The revision whose content it puts back.
+    /// For a rollback, the revision whose content this one restores.
     pub restores: Option<u32>,
-    /// It is kept for ever.
+    /// Whether the revision is pinned, so that it is never evicted.
     pub pinned: bool,
 }
 
-/// Where a permit stands.
+/// The state of a permit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitState {
-    /// It waits for its turn.
+    /// The permit is requested and not granted yet.
     Waiting,
-    /// It is given, from this entry of the log on.
+    /// The permit is granted: its target goes out of service.
     Granted {
-        /// Which.
+        /// Index of the log entry that granted the permit.
         index: u64,
     },
-    /// Nobody sends there any more; forced, if somebody had not confirmed.
+    /// No sidecar sends to the target any more.
     Clear {
-        /// Since when it was given.
+        /// Index of the log entry that granted the permit.
         index: u64,
-        /// By whom it was forced.
+        /// If an operator forced this state: the sidecar that proposed it.
         forced_by: Option<String>,
     },
 }
 
-/// A permit.
+/// A permit to take a sidecar or an endpoint out of service, or the request for one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Permit {
-    /// For what.
+    /// What is taken out of service.
     pub target: PermitTarget,
-    /// Its zone.
+    /// The target's zone.
     pub zone: String,
-    /// Its tier.
+    /// The target's tier.
     pub tier: u8,
-    /// At which door it was asked for.
+    /// Name of the sidecar whose operations endpoint accepted the request.
     pub proposed_by: String,
-    /// When it is overdue, by the clock of who asked.
+    /// Time from which the permit is shown as overdue, by the proposer's clock, in milliseconds since the Unix epoch.
     pub overdue_at_ms: u64,
-    /// Where it stands.
+    /// The permit's state.
     pub state: PermitState,
-    /// Why it still waits, as of the leader's last try.
+    /// Why the last attempt to grant the permit was rejected.
     pub blocked_by: Option<PlanError>,
 }
 
-/// Which way a release goes.
+/// The direction of a release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleasePhase {
-    /// Forward.
+    /// Waves start one after the other.
     RollingOut,
-    /// Back.
+    /// Waves are undone one after the other.
     RollingBack,
 }
 
 impl ReleasePhase {
-    /// The name under which operators read it.
+    /// The name that operators see in `GET /ops/plan`.
     pub fn as_str(self) -> &'static str {
         match self {
             ReleasePhase::RollingOut => "Going",
@@ -119,72 +126,85 @@
     }
 }
 
-/// A release.
+/// A release in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
-    /// The revision that it brings.
+    /// The revision that is released.
     pub revision: u32,
-    /// The share of the sidecars after each wave, in thousandths.
+    /// Share of the sidecars that each wave reaches, in thousandths.
     pub waves: Vec<u16>,
-    /// So many waves have begun.
+    /// Number of waves that have started and are not undone.
     pub wave: u32,
-    /// Which way.
+    /// Direction of the release.
     pub phase: ReleasePhase,
 }
 
 impl Release {
-    /// The share that has it now, in thousandths.
+    /// Share of the sidecars that the release has reached, in thousandths.
     pub fn reached_permille(&self) -> u16 {
-        (self.wave as usize).checked_sub(1).and_then(|at| self.waves.get(at)).copied().unwrap_or(0)
+        (self.wave as usize).checked_sub(1).and_then(|last| self.waves.get(last)).copied().unwrap_or(0)
     }
 }
 
-/// The thousandth at which a release reaches a sidecar: drawn from its name, another for each release.
+/// A sidecar's position in a release, from 0 to 999. The release reaches the sidecar once its waves reach more
+/// thousandths of the fleet than this. Hashed from name and revision, so that each release starts with other sidecars.
 pub fn release_position(name: &str, revision: u32) -> u16 {
     (xxh3_64(format!("{name}|{revision}").as_bytes()) % 1000) as u16
 }
 
-/// What a plan holds, as a snapshot has it.
+/// The replicated state, as snapshots store it. The order of the fields is part of the format.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Held {
+struct State {
+    /// Index of the entry that was applied last.
     index: u64,
     revisions: BTreeMap<u32, Revision>,
+    /// Texts of the revisions by digest, so that equal texts are stored once.
     texts: BTreeMap<u64, String>,
+    /// The revision in force for sidecars that no release has reached.
     current: u32,
-    last: u32,
+    /// The highest revision number that was given.
+    last_revision: u32,
     permits: BTreeMap<u32, Permit>,
     last_permit: u32,
     release: Option<Release>,
-    /// The entry of the release's last step, and of the last that went forward.
-    stepped: u64,
-    waved: u64,
-    halted: Option<String>,
-    storm: bool,
-    storms: u32,
-    answers: VecDeque<(CommandId, CommandOutcome)>,
+    /// Index of the entry that last started or undid a wave, or started a rollback.
+    last_step_index: u64,
+    /// Index of the entry that last started a wave.
+    last_wave_index: u64,
+    halted_by: Option<String>,
+    storm_active: bool,
+    /// Number of times that `storm_active` has changed.
+    storm_changes: u32,
+    /// The latest outcomes, oldest first.
+    outcomes: VecDeque<(CommandId, CommandOutcome)>,
 }
 
-/// What has been agreed.
+/// What the fleet has agreed on: revisions, permits, a release, a halt, a retry storm.
+///
+/// Every sidecar that has applied the same entries holds the same state. Applying an entry must therefore depend on
+/// nothing but the state and the entry: no clock, no random numbers, no iteration over unordered maps.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
-    held: Held,
+    state: State,
     checks: Checks,
-    broken: u64,
-    unread: u64,
-    /// Contents as read, by digest.
-    read: RefCell<BTreeMap<u64, Rc<RevisionContent>>>,
+    /// Number of times that an invariant did not hold after a command.
+    violations: u64,
+    /// Number of entries that this version could not read.
+    unreadable: u64,
+    /// Parsed contents by digest.
+    content_cache: RefCell<BTreeMap<u64, Rc<RevisionContent>>>,
 }
 
 impl PartialEq for Plan {
     fn eq(&self, other: &Plan) -> bool {
-        self.held == other.held
+        self.state == other.state
     }
 }
 
 impl Machine for Plan {
     fn fresh() -> Plan {
         let mut plan = Plan::default();
-        plan.keep(
+        plan.store_revision(
             0,
             "version = 1\n",
             Revision {
@@ -199,260 +219,261 @@
         plan
     }
 
-    fn apply(&mut self, index: u64, word: &[u8]) {
-        self.held.index = index;
-        match CommandEntry::decode(word) {
-            Some(said) => self.said(index, said),
-            // Danger: whoever reads it does something that this one does not; it is counted and shown, not hidden.
-            None => self.unread += 1,
+    fn apply(&mut self, index: u64, entry: &[u8]) {
+        self.state.index = index;
+        match CommandEntry::decode(entry) {
+            Some(entry) => self.process(index, entry),
+            // A sidecar of another version may read the entry and act on it, and its state then differs from this one.
+            // Operators see the count.
+            None => self.unreadable += 1,
         }
-        self.check();
+        self.check_invariants();
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        postcard::to_stdvec(&self.held).unwrap_or_default()
+        postcard::to_stdvec(&self.state).unwrap_or_default()
     }
 
     fn restore(bytes: &[u8]) -> Option<Plan> {
-        let held = postcard::from_bytes(bytes).ok()?;
-        Some(Plan { held, ..Plan::default() })
+        let state = postcard::from_bytes(bytes).ok()?;
+        Some(Plan { state, ..Plan::default() })
     }
 }
 
 impl Plan {
-    /// The same with a planted defect.
+    /// The same plan with some checks switched off, for tests.
     pub fn with_checks(mut self, checks: Checks) -> Plan {
         self.checks = checks;
         self
     }
 
-    /// What came of a word, as long as it is remembered.
+    /// The outcome of a command, if it is one of the latest that are remembered.
     pub fn outcome(&self, id: CommandId) -> Option<&CommandOutcome> {
-        self.held.answers.iter().rev().find(|(known, _)| *known == id).map(|(_, answer)| answer)
+        self.state.outcomes.iter().rev().find(|(known, _)| *known == id).map(|(_, outcome)| outcome)
     }
 
-    /// The revision that is in force for all whom no release has reached.
+    /// The revision in force for sidecars that no release has reached.
     pub fn current(&self) -> u32 {
-        self.held.current
+        self.state.current
     }
 
-    /// The revision that a sidecar goes by.
+    /// The revision in force for a sidecar.
     pub fn revision_for(&self, name: &str) -> u32 {
-        match &self.held.release {
+        match &self.state.release {
             Some(release) if release_position(name, release.revision) < release.reached_permille() => {
                 release.revision
             }
-            _ => self.held.current,
+            _ => self.state.current,
         }
     }
 
-    /// Revisions that are kept.
+    /// The revisions that are kept, by number.
     pub fn revisions(&self) -> &BTreeMap<u32, Revision> {
-        &self.held.revisions
+        &self.state.revisions
     }
 
-    /// A revision's text.
+    /// The text of a revision, if it is kept.
     pub fn text(&self, revision: u32) -> Option<&str> {
-        let digest = self.held.revisions.get(&revision)?.digest;
-        self.held.texts.get(&digest).map(String::as_str)
+        let digest = self.state.revisions.get(&revision)?.digest;
+        self.state.texts.get(&digest).map(String::as_str)
     }
 
-    /// A revision's content; nothing but the files for one that is not kept.
+    /// The content of a revision; empty for one that is not kept or that this version cannot parse.
     pub fn content(&self, revision: u32) -> Rc<RevisionContent> {
-        let digest = self.held.revisions.get(&revision).map_or(0, |revision| revision.digest);
-        let mut read = self.read.borrow_mut();
-        if read.len() > REVISIONS {
-            read.clear();
+        let digest = self.state.revisions.get(&revision).map_or(0, |revision| revision.digest);
+        let mut cache = self.content_cache.borrow_mut();
+        if cache.len() > MAX_REVISIONS {
+            cache.clear();
         }
-        let text = self.held.texts.get(&digest);
+        let text = self.state.texts.get(&digest);
         let parse = || text.and_then(|text| RevisionContent::parse(text, "revision").ok());
         let content = || Rc::new(parse().unwrap_or_else(RevisionContent::empty));
-        read.entry(digest).or_insert_with(content).clone()
+        cache.entry(digest).or_insert_with(content).clone()
     }
 
-    /// Permits, by number.
+    /// Permits and permit requests, by number.
     pub fn permits(&self) -> &BTreeMap<u32, Permit> {
-        &self.held.permits
+        &self.state.permits
     }
 
-    /// The release that goes on.
+    /// The release in progress.
     pub fn release(&self) -> Option<&Release> {
-        self.held.release.as_ref()
+        self.state.release.as_ref()
     }
 
-    /// The entry of the release's last step.
+    /// Index of the entry that last started or undid a wave, or started a rollback of the release.
     pub fn last_step_index(&self) -> u64 {
-        self.held.stepped
+        self.state.last_step_index
     }
 
-    /// The entry of the last wave that began.
+    /// Index of the entry that last started a wave.
     pub fn last_wave_index(&self) -> u64 {
-        self.held.waved
+        self.state.last_wave_index
     }
 
-    /// By whom everything is halted.
+    /// The sidecar that proposed the halt, while halted.
     pub fn halted_by(&self) -> Option<&str> {
-        self.held.halted.as_deref()
+        self.state.halted_by.as_deref()
     }
 
-    /// Whether retries storm, and how often that has changed.
+    /// Whether there is a retry storm, and how many times that has changed.
     pub fn storm(&self) -> (bool, u32) {
-        (self.held.storm, self.held.storms)
+        (self.state.storm_active, self.state.storm_changes)
     }
 
-    /// Backend servers that are barred by a permit.
+    /// Names of the endpoints that a permit takes out of service.
     pub fn excluded_endpoints(&self) -> BTreeSet<&str> {
-        let out = |permit: &&Permit| permit.target.is_endpoint() && permit.state != PermitState::Waiting;
-        self.held.permits.values().filter(out).map(|permit| permit.target.name()).collect()
+        let granted = |permit: &&Permit| permit.target.is_endpoint() && permit.state != PermitState::Waiting;
+        self.state.permits.values().filter(granted).map(|permit| permit.target.name()).collect()
     }
 
-    fn said(&mut self, index: u64, said: CommandEntry) {
-        // Danger: a word comes to the log twice where its answer was slow; it is done once.
-        if self.outcome(said.id).is_some() {
+    fn process(&mut self, index: u64, entry: CommandEntry) {
+        // A proposer that gets no response in time proposes the command again, so it can be in the log twice.
+        if self.outcome(entry.id).is_some() {
             return;
         }
-        let (id, expected) = (said.id, said.expected_revision.filter(|_| self.checks.expected_revision));
-        let done = match expected.filter(|expected| *expected != self.held.current) {
-            Some(expected) => Err(PlanError::UnexpectedRevision { expected, found: self.held.current }),
-            None => self.done(index, said),
+        let (id, expected) = (entry.id, entry.expected_revision.filter(|_| self.checks.expected_revision));
+        let result = match expected.filter(|expected| *expected != self.state.current) {
+            Some(expected) => Err(PlanError::UnexpectedRevision { expected, found: self.state.current }),
+            None => self.execute(index, entry),
         };
-        let answer = match done {
+        let outcome = match result {
             Ok(number) => CommandOutcome::Applied { index, number },
             Err(error) => CommandOutcome::Rejected(error),
         };
-        self.held.answers.push_back((id, answer));
-        while self.held.answers.len() > ANSWERS {
-            self.held.answers.pop_front();
+        self.state.outcomes.push_back((id, outcome));
+        while self.state.outcomes.len() > MAX_OUTCOMES {
+            self.state.outcomes.pop_front();
         }
     }
 
-    fn done(&mut self, index: u64, said: CommandEntry) -> Result<u32, PlanError> {
-        let CommandEntry { proposed_by: by, reason, unix_ms, command, .. } = said;
-        let named = |restores| Revision {
+    fn execute(&mut self, index: u64, entry: CommandEntry) -> Result<u32, PlanError> {
+        let CommandEntry { proposed_by, reason, unix_ms, command, .. } = entry;
+        let new_revision = |restores| Revision {
             digest: 0,
-            proposed_by: by.clone(),
+            proposed_by: proposed_by.clone(),
             reason,
             unix_ms,
             restores,
             pinned: false,
         };
         match command {
-            Command::Noop => Ok(self.held.current),
+            Command::Noop => Ok(self.state.current),
             Command::Propose { text } => {
-                self.idle()?;
-                let revision = self.revise(&text, named(None))?;
-                self.held.current = revision;
+                self.require_no_release()?;
+                let revision = self.add_revision(&text, new_revision(None))?;
+                self.state.current = revision;
                 Ok(revision)
             }
-            Command::RollBackTo { revision: to } => {
-                let text = self.text(to).map(str::to_owned).ok_or_else(|| self.not_kept(to))?;
-                // Whatever is under way: one outcome, for all at once.
-                self.held.release = None;
-                self.held.current = self.revise(&text, named(Some(to)))?;
-                Ok(self.held.current)
+            Command::RollBackTo { revision } => {
+                let text = self.text(revision).map(str::to_owned).ok_or_else(|| self.not_kept(revision))?;
+                // Also ends a release, so that all sidecars have the same revision at once.
+                self.state.release = None;
+                self.state.current = self.add_revision(&text, new_revision(Some(revision)))?;
+                Ok(self.state.current)
             }
-            Command::Pin { revision, pinned: on } => {
-                let missing = self.not_kept(revision);
-                let pinned = self.held.revisions.values().filter(|revision| revision.pinned).count();
-                if on && pinned >= REVISIONS / 2 {
-                    return Err(PlanError::TableFull(REVISIONS as u32 / 2));
+            Command::Pin { revision, pinned } => {
+                let not_kept = self.not_kept(revision);
+                let pinned_count = self.state.revisions.values().filter(|revision| revision.pinned).count();
+                if pinned && pinned_count >= MAX_REVISIONS / 2 {
+                    return Err(PlanError::TableFull(MAX_REVISIONS as u32 / 2));
                 }
-                self.held.revisions.get_mut(&revision).ok_or(missing)?.pinned = on || revision == 0;
+                self.state.revisions.get_mut(&revision).ok_or(not_kept)?.pinned = pinned || revision == 0;
                 Ok(revision)
             }
             Command::Release { text, waves } => {
-                self.idle()?;
-                self.unhalted()?;
-                let grows = waves.windows(2).all(|pair| pair[0] < pair[1]);
-                if !grows
+                self.require_no_release()?;
+                self.require_not_halted()?;
+                let increasing = waves.windows(2).all(|pair| pair[0] < pair[1]);
+                if !increasing
                     || waves.first().is_none_or(|first| *first == 0)
                     || waves.last() != Some(&1000)
-                    || waves.len() > 20
+                    || waves.len() > MAX_WAVES
                 {
                     return Err(PlanError::InvalidWaves);
                 }
-                let revision = self.revise(&text, named(None))?;
-                self.held.release =
+                let revision = self.add_revision(&text, new_revision(None))?;
+                self.state.release =
                     Some(Release { revision, waves, wave: 1, phase: ReleasePhase::RollingOut });
-                (self.held.stepped, self.held.waved) = (index, index);
+                (self.state.last_step_index, self.state.last_wave_index) = (index, index);
                 Ok(revision)
             }
             Command::AdvanceWave { revision, wave } => {
-                self.unhalted()?;
-                let release = self.under_way(revision, ReleasePhase::RollingOut)?;
+                self.require_not_halted()?;
+                let release = self.release_in_phase(revision, ReleasePhase::RollingOut)?;
                 if wave != release.wave + 1 {
                     return Err(PlanError::OutOfSequence { requested: wave, current: release.wave });
                 }
                 release.wave = wave;
-                (self.held.stepped, self.held.waved) = (index, index);
-                let release = self.under_way(revision, ReleasePhase::RollingOut)?;
+                (self.state.last_step_index, self.state.last_wave_index) = (index, index);
+                let release = self.release_in_phase(revision, ReleasePhase::RollingOut)?;
                 if wave as usize > release.waves.len() {
-                    self.held.release = None;
-                    self.held.current = revision;
+                    self.state.release = None;
+                    self.state.current = revision;
                 }
                 Ok(revision)
             }
             Command::Halt => {
-                self.held.halted.get_or_insert(by);
-                Ok(self.held.current)
+                self.state.halted_by.get_or_insert(proposed_by);
+                Ok(self.state.current)
             }
             Command::Resume => {
-                self.held.halted = None;
-                Ok(self.held.current)
+                self.state.halted_by = None;
+                Ok(self.state.current)
             }
             Command::RollBackRelease => {
-                let release = self.held.release.as_mut().ok_or(PlanError::NoRelease)?;
+                let release = self.state.release.as_mut().ok_or(PlanError::NoRelease)?;
                 release.phase = ReleasePhase::RollingBack;
                 let revision = release.revision;
-                self.held.stepped = index;
+                self.state.last_step_index = index;
                 Ok(revision)
             }
             Command::RollBackWave { revision, wave } => {
-                let release = self.under_way(revision, ReleasePhase::RollingBack)?;
+                let release = self.release_in_phase(revision, ReleasePhase::RollingBack)?;
                 if wave + 1 != release.wave {
                     return Err(PlanError::OutOfSequence { requested: wave, current: release.wave });
                 }
                 release.wave = wave;
-                self.held.stepped = index;
+                self.state.last_step_index = index;
                 if wave == 0 {
-                    self.held.release = None;
+                    self.state.release = None;
                 }
                 Ok(revision)
             }
             Command::RequestPermit { target, zone, tier, overdue_after_s } => {
-                let same = |permit: &Permit| {
+                let same_target = |permit: &Permit| {
                     permit.target.name() == target.name()
                         && permit.target.is_endpoint() == target.is_endpoint()
                 };
-                let known = self.held.permits.iter().find(|(_, permit)| same(permit));
+                let known = self.state.permits.iter().find(|(_, permit)| same_target(permit));
                 if let Some((number, permit)) = known {
-                    // A later start of a sidecar takes the place of the one before: that has come back.
+                    // A request by a later start of a sidecar replaces the permit of the earlier one: that one is back.
                     if permit.target == target || target.is_endpoint() {
                         return Err(PlanError::PermitExists(target.name().to_owned(), *number));
                     }
                     let number = *number;
-                    self.held.permits.remove(&number);
+                    self.state.permits.remove(&number);
                 }
-                if self.held.permits.len() >= PERMITS {
-                    return Err(PlanError::TableFull(PERMITS as u32));
+                if self.state.permits.len() >= MAX_PERMITS {
+                    return Err(PlanError::TableFull(MAX_PERMITS as u32));
                 }
-                self.held.last_permit += 1;
+                self.state.last_permit += 1;
                 let overdue_at_ms = unix_ms + u64::from(overdue_after_s) * 1000;
                 let state = PermitState::Waiting;
                 let permit =
-                    Permit { target, zone, tier, proposed_by: by, overdue_at_ms, state, blocked_by: None };
-                self.held.permits.insert(self.held.last_permit, permit);
-                Ok(self.held.last_permit)
+                    Permit { target, zone, tier, proposed_by, overdue_at_ms, state, blocked_by: None };
+                self.state.permits.insert(self.state.last_permit, permit);
+                Ok(self.state.last_permit)
             }
             Command::GrantPermit { permit, missing, total } => {
-                self.unhalted()?;
-                let room = self.check_outage_limit(permit, &missing, total);
-                let once = self.checks.single_grant;
-                let granted = self.held.permits.get_mut(&permit).ok_or(PlanError::UnknownPermit(permit))?;
-                if granted.state != PermitState::Waiting && once {
+                self.require_not_halted()?;
+                let within_limit = self.check_outage_limit(permit, &missing, total);
+                let single_grant = self.checks.single_grant;
+                let granted = self.state.permits.get_mut(&permit).ok_or(PlanError::UnknownPermit(permit))?;
+                if granted.state != PermitState::Waiting && single_grant {
                     return Err(PlanError::WrongPermitState(permit, granted.state_text().to_owned()));
                 }
-                if let Err(error) = room {
+                if let Err(error) = within_limit {
                     granted.blocked_by = Some(error.clone());
                     return Err(error);
                 }
@@ -460,102 +481,108 @@
                 granted.blocked_by = None;
                 Ok(permit)
             }
-            Command::MarkClear { permit } => self.clear(permit, None),
-            Command::ForceClear { permit } => self.clear(permit, Some(by)),
+            Command::MarkClear { permit } => self.clear_permit(permit, None),
+            Command::ForceClear { permit } => self.clear_permit(permit, Some(proposed_by)),
             Command::ReturnPermit { permit } => {
-                self.held.permits.remove(&permit).ok_or(PlanError::UnknownPermit(permit))?;
+                self.state.permits.remove(&permit).ok_or(PlanError::UnknownPermit(permit))?;
                 Ok(permit)
             }
-            Command::SetStorm { active: on, sequence: turn } => {
-                if turn != self.held.storms || on == self.held.storm {
-                    return Err(PlanError::OutOfSequence { requested: turn, current: self.held.storms });
+            Command::SetStorm { active, sequence } => {
+                if sequence != self.state.storm_changes || active == self.state.storm_active {
+                    let current = self.state.storm_changes;
+                    return Err(PlanError::OutOfSequence { requested: sequence, current });
                 }
-                self.held.storm = on;
-                self.held.storms += 1;
-                Ok(self.held.storms)
+                self.state.storm_active = active;
+                self.state.storm_changes += 1;
+                Ok(self.state.storm_changes)
             }
         }
     }
 
-    fn idle(&self) -> Result<(), PlanError> {
-        match &self.held.release {
+    fn require_no_release(&self) -> Result<(), PlanError> {
+        match &self.state.release {
             Some(release) => Err(PlanError::ReleaseInProgress(release.revision)),
             None => Ok(()),
         }
     }
 
-    fn unhalted(&self) -> Result<(), PlanError> {
-        match &self.held.halted {
-            Some(by) if self.checks.halt => Err(PlanError::Halted(by.clone())),
+    fn require_not_halted(&self) -> Result<(), PlanError> {
+        match &self.state.halted_by {
+            Some(proposer) if self.checks.halt => Err(PlanError::Halted(proposer.clone())),
             _ => Ok(()),
         }
     }
 
-    fn under_way(&mut self, revision: u32, phase: ReleasePhase) -> Result<&mut Release, PlanError> {
-        let release = self.held.release.as_mut();
-        release.filter(|it| it.revision == revision && it.phase == phase).ok_or(PlanError::NoRelease)
+    fn release_in_phase(&mut self, revision: u32, phase: ReleasePhase) -> Result<&mut Release, PlanError> {
+        let release = self.state.release.as_mut();
+        release
+            .filter(|release| release.revision == revision && release.phase == phase)
+            .ok_or(PlanError::NoRelease)
     }
 
     fn not_kept(&self, requested: u32) -> PlanError {
-        let oldest = self.held.revisions.keys().next().copied().unwrap_or(0);
-        PlanError::RevisionNotKept { requested, oldest, newest: self.held.last }
+        let oldest = self.state.revisions.keys().next().copied().unwrap_or(0);
+        PlanError::RevisionNotKept { requested, oldest, newest: self.state.last_revision }
     }
 
-    fn revise(&mut self, text: &str, revision: Revision) -> Result<u32, PlanError> {
+    fn add_revision(&mut self, text: &str, revision: Revision) -> Result<u32, PlanError> {
         RevisionContent::parse(text, "revision")
             .map_err(|error| PlanError::InvalidContent(error.to_string()))?;
-        self.held.last += 1;
-        self.keep(self.held.last, text, revision);
-        Ok(self.held.last)
+        self.state.last_revision += 1;
+        self.store_revision(self.state.last_revision, text, revision);
+        Ok(self.state.last_revision)
     }
 
-    /// Keeps a revision, and lets go of the oldest that nobody needs.
-    fn keep(&mut self, number: u32, text: &str, revision: Revision) {
+    /// Stores a revision and evicts the oldest ones that are not needed until the limits hold.
+    fn store_revision(&mut self, number: u32, text: &str, revision: Revision) {
         let digest = xxh3_64(text.as_bytes());
-        self.held.texts.entry(digest).or_insert_with(|| text.to_owned());
-        self.held.revisions.insert(number, Revision { digest, ..revision });
+        self.state.texts.entry(digest).or_insert_with(|| text.to_owned());
+        self.state.revisions.insert(number, Revision { digest, ..revision });
         loop {
-            let bytes: usize = self.held.texts.values().map(String::len).sum();
-            if self.held.revisions.len() <= REVISIONS && bytes <= TEXTS {
+            let bytes: usize = self.state.texts.values().map(String::len).sum();
+            if self.state.revisions.len() <= MAX_REVISIONS && bytes <= MAX_TEXT_BYTES_TOTAL {
                 break;
             }
-            let release = self.held.release.as_ref().map(|release| release.revision);
-            let free = |(n, revision): &(&u32, &Revision)| {
-                !revision.pinned && **n != number && **n != self.held.current && Some(**n) != release
+            let release = self.state.release.as_ref().map(|release| release.revision);
+            let evictable = |(n, revision): &(&u32, &Revision)| {
+                !revision.pinned && **n != number && **n != self.state.current && Some(**n) != release
             };
-            let Some(oldest) = self.held.revisions.iter().find(free).map(|(n, _)| *n) else { break };
-            self.held.revisions.remove(&oldest);
-            let used: BTreeSet<u64> = self.held.revisions.values().map(|revision| revision.digest).collect();
-            self.held.texts.retain(|digest, _| used.contains(digest));
+            let Some(oldest) = self.state.revisions.iter().find(evictable).map(|(n, _)| *n) else { break };
+            self.state.revisions.remove(&oldest);
+            let used: BTreeSet<u64> = self.state.revisions.values().map(|revision| revision.digest).collect();
+            self.state.texts.retain(|digest, _| used.contains(digest));
         }
     }
 
-    /// Whether one more may be out; the leader asks the same before it says so.
+    /// Whether the outage limit leaves room for the permit's target. The leader checks the same before it proposes a
+    /// grant.
     pub fn check_outage_limit(&self, permit: u32, missing: &[String], total: u32) -> Result<(), PlanError> {
-        let wanted = self.held.permits.get(&permit).ok_or(PlanError::UnknownPermit(permit))?;
-        let kind = if wanted.target.is_endpoint() { OutageKind::Endpoints } else { OutageKind::Sidecars };
-        let allowed = self.content(self.held.current).outage_limit(kind, &wanted.zone, wanted.tier, total);
-        let beside = |it: &&Permit| {
-            it.state != PermitState::Waiting
-                && it.target.is_endpoint() == wanted.target.is_endpoint()
-                && (&it.zone, it.tier) == (&wanted.zone, wanted.tier)
+        let requested = self.state.permits.get(&permit).ok_or(PlanError::UnknownPermit(permit))?;
+        let kind = if requested.target.is_endpoint() { OutageKind::Endpoints } else { OutageKind::Sidecars };
+        let allowed =
+            self.content(self.state.current).outage_limit(kind, &requested.zone, requested.tier, total);
+        let same_limit = |permit: &&Permit| {
+            permit.state != PermitState::Waiting
+                && permit.target.is_endpoint() == requested.target.is_endpoint()
+                && (&permit.zone, permit.tier) == (&requested.zone, requested.tier)
         };
         let mut out: BTreeSet<&str> =
-            self.held.permits.values().filter(beside).map(|it| it.target.name()).collect();
-        // Danger: who is dead is out too; a limit that forgets them lets the rest be taken down on top.
+            self.state.permits.values().filter(same_limit).map(|permit| permit.target.name()).collect();
+        // Dead sidecars are out of service too. Without them, the limit would allow as many more to be taken down on
+        // top.
         if self.checks.count_missing {
-            out.extend(missing.iter().take(MISSING).map(String::as_str));
+            out.extend(missing.iter().take(MAX_MISSING).map(String::as_str));
         }
-        out.remove(wanted.target.name());
+        out.remove(requested.target.name());
         if out.len() as u32 + 1 > allowed {
-            let who = out.iter().take(8).copied().collect::<Vec<&str>>().join(", ");
-            return Err(PlanError::TooManyOut { out: out.len() as u32, allowed, names: who });
+            let names = out.iter().take(MAX_NAMES_IN_ERROR).copied().collect::<Vec<&str>>().join(", ");
+            return Err(PlanError::TooManyOut { out: out.len() as u32, allowed, names });
         }
         Ok(())
     }
 
-    fn clear(&mut self, permit: u32, forced_by: Option<String>) -> Result<u32, PlanError> {
-        let cleared = self.held.permits.get_mut(&permit).ok_or(PlanError::UnknownPermit(permit))?;
+    fn clear_permit(&mut self, permit: u32, forced_by: Option<String>) -> Result<u32, PlanError> {
+        let cleared = self.state.permits.get_mut(&permit).ok_or(PlanError::UnknownPermit(permit))?;
         match cleared.state {
             PermitState::Granted { index } => {
                 cleared.state = PermitState::Clear { index, forced_by };
@@ -565,31 +592,32 @@
         }
     }
 
-    /// What must hold after each word.
-    fn check(&mut self) {
-        let held = &self.held;
-        let kept = held.revisions.contains_key(&held.current)
-            && held.revisions.values().all(|revision| held.texts.contains_key(&revision.digest));
-        let bounded = held.revisions.len() <= REVISIONS + 1
-            && held.permits.len() <= PERMITS
-            && held.answers.len() <= ANSWERS;
-        let release = held.release.as_ref();
-        let under_way = release.is_none_or(|it| {
-            it.wave >= 1 && it.wave as usize <= it.waves.len() && held.revisions.contains_key(&it.revision)
+    /// Counts a violation if the state does not hold what every command must leave true. Debug builds panic.
+    fn check_invariants(&mut self) {
+        let state = &self.state;
+        let complete = state.revisions.contains_key(&state.current)
+            && state.revisions.values().all(|revision| state.texts.contains_key(&revision.digest));
+        let bounded = state.revisions.len() <= MAX_REVISIONS + 1
+            && state.permits.len() <= MAX_PERMITS
+            && state.outcomes.len() <= MAX_OUTCOMES;
+        let release_valid = state.release.as_ref().is_none_or(|release| {
+            release.wave >= 1
+                && release.wave as usize <= release.waves.len()
+                && state.revisions.contains_key(&release.revision)
         });
-        let fits = kept && bounded && under_way;
-        self.broken += u64::from(!fits);
-        debug_assert!(fits, "kept {kept}, bounded {bounded}, under way {under_way}");
+        let holds = complete && bounded && release_valid;
+        self.violations += u64::from(!holds);
+        debug_assert!(holds, "complete: {complete}, bounded: {bounded}, release valid: {release_valid}");
     }
 
-    /// Invariants that did not hold, and words that this version can't read.
+    /// How often an invariant did not hold, and how many entries this version could not read.
     pub fn fault_counts(&self) -> (u64, u64) {
-        (self.broken, self.unread)
+        (self.violations, self.unreadable)
     }
 }
 
 impl Permit {
-    /// The entry that gave it, if it was given.
+    /// Index of the log entry that granted the permit, if it is granted.
     pub fn granted_index(&self) -> Option<u64> {
         match self.state {
             PermitState::Waiting => None,
@@ -597,7 +625,7 @@
         }
     }
 
-    /// Its state in a word.
+    /// The name of the state that operators see in `GET /ops/plan` and in errors.
     pub fn state_text(&self) -> &'static str {
         match self.state {
             PermitState::Waiting => "waiting",
--- a/crates/plan/src/throttle.rs
+++ b/crates/plan/src/throttle.rs
@@ -1,115 +1,126 @@
-//! What this sidecar may spend of the plan's limits on retries.
+//! A sidecar's part of the plan's limits on retries.
 //!
-//! A rule's share of first tries is kept by each sidecar of its own first tries, which sums to the cluster's. Its floor
-//! and its ceiling are figures of the whole cluster: each sidecar has its part of the budgets' whole of retries, as a
-//! share, and spends that share of them. As the parts in force never sum to more than the whole, neither do these.
+//! Each sidecar applies a rule's share to its own first attempts; the sum over the sidecars keeps the cluster's share.
+//! A rule's floor and ceiling are rates of the whole cluster: each sidecar takes the fraction of them that it holds of
+//! the cluster's retry budget. The fractions in force never sum to more than one, so the sidecars together never exceed
+//! the rule.
 
 use crate::content::{ExhaustedAction, RetryAttributes, RevisionContent};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What came of wanting a retry.
+/// Whether a retry may be made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// No rule binds.
+    /// No rule applies: the retry may be made.
     Unlimited,
-    /// Within this rule.
+    /// The rule of this index allows the retry.
     Allowed(usize),
-    /// This rule is spent; the attempt is made all the same, as the rule only counts.
+    /// The rule of this index is exhausted, but only counts: the retry may be made.
     Counted(usize),
-    /// This rule is spent.
+    /// The rule of this index is exhausted: the retry must not be made.
     Denied(usize),
 }
 
+/// The tokens of one rule. A retry takes one of each kind.
 #[derive(Debug, Clone, Copy)]
-struct Purse {
-    /// Of first tries and of the floor.
+struct Tokens {
+    /// Earned by first attempts and by the floor.
     earned: f64,
-    /// Of the ceiling.
-    room: f64,
-    at: Duration,
+    /// Refilled at the rate of the ceiling.
+    ceiling: f64,
+    refilled_at: Duration,
 }
 
-/// What may be spent of a content's rules.
+impl Tokens {
+    fn empty(now: Duration) -> Tokens {
+        Tokens { earned: 0.0, ceiling: 0.0, refilled_at: now }
+    }
+}
+
+/// Applies the retry rules of a revision.
 #[derive(Debug)]
 pub struct RetryThrottle {
     content: Rc<RevisionContent>,
-    purses: Vec<Purse>,
+    /// One entry for each retry rule of `content`.
+    tokens: Vec<Tokens>,
     storm: bool,
-    /// First tries and retries since it was asked last, for whoever looks for storms.
-    tries: (u64, u64),
+    /// First attempts and retries since the last call of `take_counts`.
+    counts: (u64, u64),
 }
 
 impl RetryThrottle {
-    /// Nothing is earned yet.
+    /// A throttle without any tokens.
     pub fn new(content: Rc<RevisionContent>, now: Duration) -> RetryThrottle {
-        let purses = vec![Purse { earned: 0.0, room: 0.0, at: now }; content.retry_rules.len()];
-        RetryThrottle { content, purses, storm: false, tries: (0, 0) }
+        let tokens = vec![Tokens::empty(now); content.retry_rules.len()];
+        RetryThrottle { content, tokens, storm: false, counts: (0, 0) }
     }
 
-    /// Another revision, or a storm begins or ends. What was earned under equal rules stays; a purse never grows by it.
+    /// Changes to another revision, or starts or ends a storm. Rules that are in both revisions keep their tokens, new
+    /// ones start without, so that a change never allows additional retries.
     pub fn update(&mut self, content: Rc<RevisionContent>, storm: bool, now: Duration) {
         self.storm = storm;
         if *content == *self.content {
             return;
         }
-        let purse = |rule| {
+        let tokens = |rule| {
             let known = self.content.retry_rules.iter().position(|known| known == rule);
-            known.map_or(Purse { earned: 0.0, room: 0.0, at: now }, |at| self.purses[at])
+            known.map_or(Tokens::empty(now), |i| self.tokens[i])
         };
-        self.purses = content.retry_rules.iter().map(purse).collect();
+        self.tokens = content.retry_rules.iter().map(tokens).collect();
         self.content = content;
     }
 
-    /// A first try goes out.
-    pub fn record_first_attempt(&mut self, wanted: &RetryAttributes<'_>) {
-        self.tries.0 += 1;
-        // Whatever its retry will come after: each rule that could bind earns.
-        let earns = |after| self.content.binding_rule(&RetryAttributes { after, ..*wanted });
+    /// Records the first attempt of a request.
+    pub fn record_first_attempt(&mut self, request: &RetryAttributes<'_>) {
+        self.counts.0 += 1;
+        // How the attempt will end is not known yet, so each rule that could apply to its retry earns.
+        let rule_after = |after| self.content.binding_rule(&RetryAttributes { after, ..*request });
         use crate::content::RetryCause::*;
         let mut rules: Vec<usize> = [Rejected, NeverConnected, MayHaveRun, TimedOut]
             .into_iter()
-            .filter_map(|h| earns(Some(h)))
+            .filter_map(|cause| rule_after(Some(cause)))
             .collect();
         rules.sort_unstable();
         rules.dedup();
-        for at in rules {
-            let (rule, purse) = (&self.content.retry_rules[at], &mut self.purses[at]);
-            purse.earned = (purse.earned + rule.share).min(rule.burst);
+        for i in rules {
+            let (rule, tokens) = (&self.content.retry_rules[i], &mut self.tokens[i]);
+            tokens.earned = (tokens.earned + rule.share).min(rule.burst);
         }
     }
 
-    /// A retry is wanted; `part` is this sidecar's share of the cluster's whole now.
-    pub fn try_retry(&mut self, wanted: &RetryAttributes<'_>, part: f64, now: Duration) -> RetryDecision {
-        let Some(at) = self.content.binding_rule(wanted) else {
-            self.tries.1 += 1;
+    /// Decides on a retry. `fraction` is the part of the cluster's retry budget that this sidecar holds now.
+    pub fn try_retry(&mut self, retry: &RetryAttributes<'_>, fraction: f64, now: Duration) -> RetryDecision {
+        let Some(i) = self.content.binding_rule(retry) else {
+            self.counts.1 += 1;
             return RetryDecision::Unlimited;
         };
-        let (rule, purse) = (&self.content.retry_rules[at], &mut self.purses[at]);
+        let (rule, tokens) = (&self.content.retry_rules[i], &mut self.tokens[i]);
         let storm = self.content.storm.as_ref().filter(|_| self.storm);
         let ceiling = storm.map_or(rule.ceiling, |storm| storm.ceiling.min(rule.ceiling));
-        let passed = now.saturating_sub(purse.at).as_secs_f64();
-        purse.at = now;
-        // Danger: what was saved up under a greater part, or before a storm, must not come out now.
-        let most = (rule.burst * part).max(1.0);
-        purse.room = (purse.room + ceiling * part * passed).min(most);
-        purse.earned = (purse.earned + rule.floor.min(ceiling) * part * passed).min(rule.burst);
-        let within = part > 0.0 && purse.room >= 1.0 && purse.earned >= 1.0;
-        if within {
-            purse.room -= 1.0;
-            purse.earned -= 1.0;
+        let elapsed = now.saturating_sub(tokens.refilled_at).as_secs_f64();
+        tokens.refilled_at = now;
+        // Caps the tokens that were saved up under a larger fraction or before a storm. Without the cap, the sidecars
+        // together could now spend more than the rule's burst.
+        let max_ceiling_tokens = (rule.burst * fraction).max(1.0);
+        tokens.ceiling = (tokens.ceiling + ceiling * fraction * elapsed).min(max_ceiling_tokens);
+        tokens.earned = (tokens.earned + rule.floor.min(ceiling) * fraction * elapsed).min(rule.burst);
+        let allowed = fraction > 0.0 && tokens.ceiling >= 1.0 && tokens.earned >= 1.0;
+        if allowed {
+            tokens.ceiling -= 1.0;
+            tokens.earned -= 1.0;
         }
-        let tried = match (within, rule.when_exhausted) {
-            (true, _) => RetryDecision::Allowed(at),
-            (false, ExhaustedAction::Count) => RetryDecision::Counted(at),
-            (false, ExhaustedAction::Deny) => RetryDecision::Denied(at),
+        let decision = match (allowed, rule.when_exhausted) {
+            (true, _) => RetryDecision::Allowed(i),
+            (false, ExhaustedAction::Count) => RetryDecision::Counted(i),
+            (false, ExhaustedAction::Deny) => RetryDecision::Denied(i),
         };
-        self.tries.1 += u64::from(!matches!(tried, RetryDecision::Denied(_)));
-        tried
+        self.counts.1 += u64::from(!matches!(decision, RetryDecision::Denied(_)));
+        decision
     }
 
-    /// First tries and retries that went out since this was asked last.
+    /// Returns the numbers of first attempts and retries since the last call and resets them. They show retry storms.
     pub fn take_counts(&mut self) -> (u64, u64) {
-        std::mem::take(&mut self.tries)
+        std::mem::take(&mut self.counts)
     }
 }
