--- a/crates/plan/tests/wire_format.rs
+++ b/crates/plan/tests/wire_format.rs
@@ -1,7 +1,7 @@
 //! Encodings and texts that other versions, stored snapshots and operators' tools depend on, byte for byte.
 //!
-//! postcard writes the index of an enum variant and the fields of a struct in the order of their declaration. A reordered
-//! variant or field still compiles, but sidecars of two versions would then read one log differently.
+//! postcard writes the index of an enum variant and the fields of a struct in the order of their declaration. A
+//! reordered variant or field still compiles, but sidecars of two versions would then read one log differently.
 
 use cometcroft_consensus::Machine;
 use cometcroft_plan::{
@@ -207,7 +207,8 @@
     assert_eq!((start_above, hold.0, end_below, ceiling), (0.5, 2.0, 0.1, 4.0));
 }
 
-/// A rejected text is stored with its reason in the replicated outcome: sidecars of all versions must write the same reason.
+/// A rejected text is stored with its reason in the replicated outcome: sidecars of all versions must write the same
+/// reason.
 #[test]
 fn reasons_of_a_rejected_text_stay_the_same() {
     let pinned = [
