--- a/crates/plan/src/command.rs
+++ b/crates/plan/src/command.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// A change of the plan. The log and snapshots store variants by their position, so new ones go to the end.
+/// A change of the plan. The log stores variants by their position, so new ones go to the end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// Changes nothing. A reader that sees it applied has seen every command before it.
--- a/crates/plan/src/content.rs
+++ b/crates/plan/src/content.rs
@@ -27,7 +27,7 @@
     /// Limits on how many sidecars or endpoints may be out of service at once.
     #[serde(rename = "out", default)]
     pub outage_limits: Vec<OutageLimit>,
-    /// Limits on retries over the whole cluster.
+    /// Limits on retries over the whole fleet.
     #[serde(rename = "retries", default)]
     pub retry_rules: Vec<RetryRule>,
     /// Detection of retry storms.
@@ -125,10 +125,10 @@
     pub after: Option<RetryCause>,
     /// Retries that are allowed per first attempt.
     pub share: f64,
-    /// Retries per second over the whole cluster that are allowed even without first attempts.
+    /// Retries per second over the whole fleet that are allowed even without first attempts.
     #[serde(default)]
     pub floor: f64,
-    /// Maximum number of retries per second over the whole cluster.
+    /// Maximum number of retries per second over the whole fleet.
     pub ceiling: f64,
     /// Maximum number of unused retries that are saved up.
     #[serde(default = "default_burst")]
--- a/crates/plan/src/controller.rs
+++ b/crates/plan/src/controller.rs
@@ -1,7 +1,7 @@
 //! The leader's controller: derives the commands that only the leader proposes from the plan and the fleet's state.
 //!
 //! The leader proposes them as any other command. Each names the state that it starts from and is rejected in any
-//! other, so two sidecars that both believe to lead cause each step only once.
+//! other, so two sidecars that both believe they lead cause each step only once.
 
 use crate::command::{Command, CommandId, PermitTarget};
 use crate::plan::{Checks, PermitState, Plan, ReleasePhase, release_position};
@@ -78,8 +78,8 @@
     }
 
     /// The identifier of a leader's command, from the command and the index of the last entry that the leader has
-    /// applied. Two sidecars that both believe to lead propose the same command under one identifier, and it is applied
-    /// once.
+    /// applied. Two sidecars that both believe they lead propose the same command under one identifier, and it is
+    /// applied once.
     pub fn command_id(command: &Command, index: u64) -> CommandId {
         CommandId(xxh3_64(&postcard::to_stdvec(&(command, index)).unwrap_or_default()) | 1)
     }
@@ -175,8 +175,8 @@
         // The next step waits until every sidecar has the last one in force and accepts clients.
         let settled = |sidecar: &SidecarStatus| match sidecar.state {
             MemberState::Alive => sidecar.ready && sidecar.confirmed_index >= plan.last_step_index(),
-            // A sidecar that the release has reached and that is now unreachable may have failed because of the release,
-            // so the release does not go on.
+            // A sidecar that the release has reached and that is now unreachable may have failed because of the
+            // release, so the release does not go on.
             MemberState::Unreachable => {
                 release_position(&sidecar.name, revision) >= release.reached_permille()
             }
--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -447,7 +447,7 @@
                 };
                 let known = self.state.permits.iter().find(|(_, permit)| same_target(permit));
                 if let Some((number, permit)) = known {
-                    // A request by a later start of a sidecar replaces the permit of the earlier one: that one is back.
+                    // A later start of a sidecar replaces the permit of the start before: the sidecar is back.
                     if permit.target == target || target.is_endpoint() {
                         return Err(PlanError::PermitExists(target.name().to_owned(), *number));
                     }
--- a/crates/plan/src/throttle.rs
+++ b/crates/plan/src/throttle.rs
@@ -1,9 +1,9 @@
 //! A sidecar's part of the plan's limits on retries.
 //!
-//! Each sidecar applies a rule's share to its own first attempts; the sum over the sidecars keeps the cluster's share.
-//! A rule's floor and ceiling are rates of the whole cluster: each sidecar takes the fraction of them that it holds of
-//! the cluster's retry budget. The fractions in force never sum to more than one, so the sidecars together never exceed
-//! the rule.
+//! Each sidecar applies a rule's share to its own first attempts; the sum over the sidecars keeps the fleet's share.
+//! A rule's floor and ceiling are rates of the whole fleet: each sidecar takes the fraction of them that it holds of
+//! the fleet's retry budget. The fractions in force never sum to more than one, so the sidecars together stay
+//! within both rates.
 
 use crate::content::{ExhaustedAction, RetryAttributes, RevisionContent};
 use std::rc::Rc;
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Decides on a retry. `fraction` is the part of the cluster's retry budget that this sidecar holds now.
+    /// Decides on a retry. `fraction` is the part of the fleet's retry budget that this sidecar holds now.
     pub fn try_retry(&mut self, retry: &RetryAttributes<'_>, fraction: f64, now: Duration) -> RetryDecision {
         let Some(i) = self.content.binding_rule(retry) else {
             self.counts.1 += 1;
--- a/crates/plan/tests/throttle.rs
+++ b/crates/plan/tests/throttle.rs
@@ -1,4 +1,4 @@
-//! Limits on retries over a cluster: throttles whose fractions sum to one never exceed a rule together.
+//! Limits on retries over a fleet: throttles whose fractions sum to one never exceed a rule together.
 
 use cometcroft_plan::{RetryAttributes, RetryDecision, RetryThrottle, RevisionContent};
 use proptest::prelude::*;
@@ -22,7 +22,7 @@
     })]
 
     #[test]
-    fn a_cluster_stays_within_its_ceiling_while_fractions_and_revisions_change(
+    fn a_fleet_stays_within_its_ceiling_while_fractions_and_revisions_change(
         weights in prop::collection::vec(1u32..100, 1..8),
         first_attempts in 1usize..40,
         changes in prop::collection::vec((0usize..8, 1u32..100, any::<bool>()), 0..30),
@@ -88,7 +88,7 @@
     };
     // Retries allowed in 10 s, in this order: by the ceiling of 20 per second; by the share of half of 10 first
     // attempts per second plus the floor of 2 per second; by the floor alone; by a storm's ceiling of 4 per second; by
-    // half of the cluster's ceiling; without any fraction of it.
+    // half of the fleet's ceiling; without any fraction of it.
     assert!((190..=212).contains(&count(1.0, 100, false)), "{}", count(1.0, 100, false));
     assert!((65..=75).contains(&count(1.0, 10, false)), "{}", count(1.0, 10, false));
     assert!((18..=21).contains(&count(1.0, 0, false)), "{}", count(1.0, 0, false));
@@ -151,7 +151,7 @@
         if let Some(command) = controller.next_command(&plan, Duration::from_millis(tick * 100), &[]) {
             proposed.push((tick / 75, command.clone()));
             apply(&mut plan, command.clone());
-            // A second sidecar that believes to lead proposes the same command: it changes nothing.
+            // A second sidecar that believes it leads proposes the same command: it changes nothing.
             apply(&mut plan, command);
         }
     }
