--- a/crates/capacity/src/arithmetic.rs
+++ b/crates/capacity/src/arithmetic.rs
@@ -8,7 +8,7 @@
 const KEPT_BACK_MOST: Duration = Duration::from_millis(60);
 /// Further attempts for each first one that the module makes of itself, without a plan (`policy::RETRY_SHARE`).
 pub const MODULE_RETRY_SHARE: f64 = 0.2;
-/// Each sidecar reports its status to each voter so often (`accord::TELL`).
+/// Each sidecar reports its status to each voter so often (`plan_driver::STATUS_INTERVAL`).
 pub const STATUS_REPORTS_PER_SECOND: f64 = 1.0;
 /// Each budget holder asks the allocator so often in a lease (`budget::Config::request_interval`); each request is answered.
 pub const BUDGET_REQUESTS_PER_LEASE: f64 = 4.0;
@@ -18,7 +18,7 @@
 pub const LEASE_SECONDS: f64 = 2.0;
 /// Messages for one request of the budget: itself and its answer.
 pub const MESSAGES_PER_BUDGET_REQUEST: f64 = 2.0;
-/// The leader goes over all members so often, and proposes one entry each time at most (`accord::STEWARD`).
+/// The leader goes over all members so often, and proposes one entry each time at most (`plan_driver::CONTROLLER_INTERVAL`).
 pub const LEADER_ROUNDS_PER_SECOND: f64 = 10.0;
 /// Entries of the leader for one permit: it grants it, and returns it when the sidecar is ready again.
 pub const LEADER_ENTRIES_PER_PERMIT: f64 = 2.0;
--- a/crates/emulator/src/agree.rs
+++ b/crates/emulator/src/agree.rs
@@ -4,7 +4,7 @@
 use cometcroft_consensus::Config;
 use cometcroft_plan::{Command, CommandOutcome, PermitState, PermitTarget};
 use cometcroft_script::{PlanLook, Say, Spoken};
-use cometcroft_sidecar::accord::{Accord, AccordParts};
+use cometcroft_sidecar::plan_driver::{PlanDriver, PlanParts};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,20 +14,20 @@
     own: SocketAddrV4,
     keepers: Vec<SocketAddrV4>,
     log: cometcroft_consensus::Features,
-) -> AccordParts {
+) -> PlanParts {
     let mut config = Config::new("played", own, keepers);
     config.features = log;
-    AccordParts { config, wait: Duration::from_millis(300), divides: false, listener: Box::new(|_| ()) }
+    PlanParts { config, wait: Duration::from_millis(300), divides: false, listener: Box::new(|_| ()) }
 }
 
 /// Says a word at a member's door; the entry at which it was taken, or why not.
-pub async fn say<E: 'static>(accord: Rc<Accord<Emulated<E>>>, spoken: Spoken) -> Result<u64, String>
+pub async fn say<E: 'static>(plan_driver: Rc<PlanDriver<Emulated<E>>>, spoken: Spoken) -> Result<u64, String>
 where
     Emulated<E>: cometcroft_platform::Platform,
 {
     let Spoken { say, id, text, number, server, waves } = spoken;
     let word = match say {
-        Say::Refound => return accord.found().await.map_err(|failure| failure.code().to_owned()),
+        Say::Refound => return plan_driver.bootstrap().await.map_err(|failure| failure.code().to_owned()),
         Say::Propose => Command::Propose { text },
         Say::Rollback => Command::RollBackTo { revision: number },
         Say::Release => Command::Release { text, waves },
@@ -35,7 +35,7 @@
         Say::Resume => Command::Resume,
         Say::Back => Command::RollBackRelease,
         Say::Drain => {
-            let tier = accord.tier();
+            let tier = plan_driver.tier();
             Command::RequestPermit {
                 target: PermitTarget::Endpoint(server),
                 zone: "a".to_owned(),
@@ -44,13 +44,13 @@
             }
         }
         Say::Restart => {
-            let (what, zone, tier) = accord.own();
+            let (what, zone, tier) = plan_driver.own_permit_target();
             Command::RequestPermit { target: what, zone, tier, overdue_after_s: 60 }
         }
         Say::Return => Command::ReturnPermit { permit: number },
         Say::Force => Command::ForceClear { permit: number },
     };
-    match accord.say(word, "script", None, Some(id)).await {
+    match plan_driver.propose(word, "script", None, Some(id)).await {
         Ok(CommandOutcome::Applied { index, .. }) => Ok(index),
         Ok(CommandOutcome::Rejected(error)) => Err(error.code().to_owned()),
         Err(failure) => Err(failure.code().to_owned()),
@@ -58,9 +58,9 @@
 }
 
 /// Where a member's plan stands.
-pub fn look<P: cometcroft_platform::Platform>(accord: &Accord<P>) -> PlanLook {
-    let (in_force, leads) = (accord.stands(), accord.led());
-    accord.ask(|log| {
+pub fn look<P: cometcroft_platform::Platform>(plan_driver: &PlanDriver<P>) -> PlanLook {
+    let (in_force, leads) = (plan_driver.in_force(), plan_driver.has_leader());
+    plan_driver.with_log(|log| {
         let (place, plan) = (log.position(), log.machine());
         let permits = plan.permits().values();
         let clear = permits.clone().filter(|it| matches!(it.state, PermitState::Clear { .. }));
--- a/crates/emulator/src/emulator/sidecars.rs
+++ b/crates/emulator/src/emulator/sidecars.rs
@@ -98,7 +98,7 @@
             told.zone = Name::new(&self.day.zones[s.zone]).unwrap_or_default();
             (told.rank, told.seeds) = (s.rank as u16, seeds);
             FleetParts {
-                accord: None,
+                plan: None,
                 config: told,
                 socket: platform.datagrams(at.into()),
                 listener: platform.listen(at.into()),
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -292,7 +292,7 @@
     fn plans(&self) -> Vec<(usize, PlanLook)> {
         let runs = |(i, seat): (usize, &Seat)| {
             let (_, fleet) = seat.process.as_ref().filter(|(pid, _)| !self.kernel.stopped(*pid))?;
-            Some((i, agree::look(fleet.accord()?)))
+            Some((i, agree::look(fleet.plan()?)))
         };
         self.seats.iter().enumerate().filter_map(runs).collect()
     }
@@ -350,11 +350,12 @@
         }
         for (i, seat) in self.seats.iter().enumerate() {
             let runs = seat.process.as_ref().filter(|(pid, _)| !self.kernel.stopped(*pid));
-            let purses = runs.and_then(|(_, fleet)| fleet.purses());
+            let budget_driver = runs.and_then(|(_, fleet)| fleet.budget());
             // One that has just started has not been answered yet.
             let young = now < time(seat.started) + lease * 3;
-            if let Some(purses) = purses.filter(|_| !young) {
-                let answered = purses.ask(|budget, own| budget.core().has_allocator(budget.config(), own));
+            if let Some(budget_driver) = budget_driver.filter(|_| !young) {
+                let answered = budget_driver
+                    .with_budget(|budget, own| budget.core().has_allocator(budget.config(), own));
                 self.judge.divided(now, i, answered);
             }
         }
@@ -479,12 +480,12 @@
             Doing::File(i, other) => self.seats[i].other = other,
             Doing::Say(i, spoken) => {
                 let Some((pid, fleet)) = &self.seats[i].process else { return };
-                let Some(accord) = fleet.accord().cloned() else { return };
-                let (answers, door) = (self.answers.clone(), accord.clone());
+                let Some(plan_driver) = fleet.plan().cloned() else { return };
+                let (answers, asked) = (self.answers.clone(), plan_driver.clone());
                 self.kernel.spawn(*pid, async move {
                     let said = spoken.say;
-                    let taken = agree::say(accord, spoken).await;
-                    let founding = door.ask(|log| log.position().bootstrap_id);
+                    let taken = agree::say(plan_driver, spoken).await;
+                    let founding = asked.with_log(|log| log.position().bootstrap_id);
                     answers.borrow_mut().push((said, founding, taken));
                 });
             }
@@ -530,7 +531,7 @@
             share::parts(told, life)
         });
         let keepers = self.plan.keepers.min(places.len());
-        let accord = (keepers > 0).then(|| agree::parts(own, places[..keepers].to_vec(), self.log_parts));
+        let plan_parts = (keepers > 0).then(|| agree::parts(own, places[..keepers].to_vec(), self.log_parts));
         let parts = FleetParts {
             config,
             socket: platform.datagrams(at),
@@ -541,20 +542,20 @@
                 changes.borrow_mut().push((i, name, change.generation, change.from, change.to));
             }),
             budget,
-            accord,
+            plan: plan_parts,
         };
         let seed = Dice::new(self.plan.seed, &format!("{} {i} life {}", seat.name, seat.life)).bits();
         let (fleet, listener) = Fleet::new(platform.clone(), parts, self.plan.first as u32, seed);
-        self.judge.known(i, fleet.ask(|machine| machine.local_record().generation));
+        self.judge.known(i, fleet.with_membership(|machine| machine.local_record().generation));
         seat.origin = Some(platform.now());
         let running = fleet.clone();
         self.kernel.spawn(pid, running.run(listener));
-        if let Some(accord) = fleet.accord().cloned() {
+        if let Some(plan_driver) = fleet.plan().cloned() {
             let told = fleet.clone();
             self.kernel.spawn(pid, async move {
                 loop {
-                    told.recounted().await;
-                    accord.put_in_force();
+                    told.changed().await;
+                    plan_driver.mark_in_force();
                 }
             });
         }
@@ -586,18 +587,18 @@
         let now = self.kernel.now();
         let seat = &mut self.seats[i];
         if let Some((_, fleet)) = &seat.process {
-            let (traffic, _) = fleet.ask(|machine| machine.counters());
+            let (traffic, _) = fleet.with_membership(|machine| machine.counters());
             seat.sent.0 += traffic.sent;
             seat.sent.1 += traffic.sent_bytes;
             self.exchanged += traffic.exchange_bytes / 2;
-            if let Some(purses) = fleet.purses() {
-                let counted = purses.ask(|budget, _| budget.counters());
+            if let Some(budget_driver) = fleet.budget() {
+                let counted = budget_driver.with_budget(|budget, _| budget.counters());
                 self.sharing.sent.0 += counted.sent;
                 self.sharing.sent.1 += counted.sent_bytes;
                 self.sharing.elections += counted.elections;
             }
-            if let Some(accord) = fleet.accord() {
-                self.agreed.bytes_s += accord.sent() as f64;
+            if let Some(plan_driver) = fleet.plan() {
+                self.agreed.bytes_s += plan_driver.sent_bytes() as f64;
             }
             seat.lived += now - seat.started;
         }
@@ -608,8 +609,8 @@
         if self.kernel.stopped(*pid) {
             return None;
         }
-        let at_work = fleet.at_work();
-        Some(fleet.ask(|machine| {
+        let at_work = fleet.sidecar_count();
+        Some(fleet.with_membership(|machine| {
             let (reached, known) = machine.reach();
             Look {
                 generation: machine.local_record().generation,
@@ -621,7 +622,7 @@
                 reached,
                 known,
                 superseded: machine.is_superseded(),
-                plan: fleet.accord().map(|accord| agree::look(accord)),
+                plan: fleet.plan().map(|plan_driver| agree::look(plan_driver)),
                 answered: None,
             }
         }))
@@ -630,7 +631,9 @@
     /// All who live hold the same view, and as many are in it as live.
     fn equal(&self) -> bool {
         let mut views = self.seats.iter().filter_map(|seat| seat.process.as_ref()).map(|(_, fleet)| {
-            fleet.ask(|machine| (machine.is_superseded(), machine.digest(), machine.present_count()))
+            fleet.with_membership(|machine| {
+                (machine.is_superseded(), machine.digest(), machine.present_count())
+            })
         });
         let speaking: Vec<(u64, usize)> =
             views.by_ref().filter(|(superseded, ..)| !superseded).map(|(_, d, n)| (d, n)).collect();
@@ -650,7 +653,7 @@
             let of_name = self.seats_of.get(&name).map_or(&[][..], Vec::as_slice);
             let seat = of_name.iter().copied().find(|&i| {
                 let of = |(_, fleet): &(Pid, Rc<Fleet<Sim>>)| {
-                    fleet.ask(|machine| machine.local_record().generation == generation)
+                    fleet.with_membership(|machine| machine.local_record().generation == generation)
                 };
                 self.seats[i].process.as_ref().is_some_and(of)
             });
@@ -767,12 +770,13 @@
         }
         let (mut parts, mut places) = (0, 0);
         for (seat, out) in self.seats.iter().zip(&out) {
-            let purses = seat.process.as_ref().and_then(|(_, fleet)| fleet.purses());
-            let Some(purses) = purses else {
+            let budget_driver = seat.process.as_ref().and_then(|(_, fleet)| fleet.budget());
+            let Some(budget_driver) = budget_driver else {
                 places += out;
                 continue;
             };
-            let (part, place) = purses.ask(|budget, own| (budget.share(RATE, own), budget.share(LEVEL, own)));
+            let (part, place) =
+                budget_driver.with_budget(|budget, own| (budget.share(RATE, own), budget.share(LEVEL, own)));
             parts += part;
             places += place.max(*out);
         }
@@ -848,13 +852,13 @@
             if self.kernel.stopped(*pid) {
                 continue;
             }
-            let leads = fleet.accord().is_some_and(|accord| {
-                let own_time = accord.platform().since(origin);
-                accord.ask(|log| log.leads(own_time))
+            let leads = fleet.plan().is_some_and(|plan_driver| {
+                let own_time = plan_driver.platform().since(origin);
+                plan_driver.with_log(|log| log.leads(own_time))
+            });
+            let allocates = fleet.budget().is_some_and(|budget_driver| {
+                budget_driver.with_budget(|budget, own| budget.core().is_allocator(own))
             });
-            let allocates = fleet
-                .purses()
-                .is_some_and(|purses| purses.ask(|budget, own| budget.core().is_allocator(own)));
             let samples = [Some(&mut self.roles), steady.then_some(&mut self.steady_roles)];
             for samples in samples.into_iter().flatten() {
                 if leads {
--- a/crates/emulator/src/share.rs
+++ b/crates/emulator/src/share.rs
@@ -7,8 +7,8 @@
 use cometcroft_budget::{Config, Limit, LimitKind, Safeguards};
 use cometcroft_platform::Platform;
 use cometcroft_script::{BudgetPlan, Plan};
+use cometcroft_sidecar::budget_driver::{BudgetParts, BudgetUse};
 use cometcroft_sidecar::fleet::Fleet;
-use cometcroft_sidecar::purse::{BudgetParts, Use};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -109,7 +109,7 @@
 
 /// What a member that starts is given for it.
 pub fn parts(config: Config, id: u64) -> BudgetParts {
-    let uses = vec![Use::Retries, Use::Open];
+    let uses = vec![BudgetUse::Retries, BudgetUse::Open];
     BudgetParts { config, uses, id, listener: Box::new(|_| ()) }
 }
 
@@ -132,7 +132,7 @@
     /// One use of the rate, under a baseline; `now` is the process' own time.
     fn bare(&self, now: Duration) -> bool {
         let among = match self.divide {
-            Divide::View => self.fleet.at_work().max(1) as usize,
+            Divide::View => self.fleet.sidecar_count().max(1) as usize,
             _ => self.first,
         };
         let (rate, burst) = (self.budget.rate / among as f64, (self.budget.burst / among as f64).max(1.0));
@@ -174,9 +174,9 @@
                 let mut till = till.borrow_mut();
                 till.wanted += u64::from(whole == RATE);
                 let mut spent = Spent { seat, whole, at: now, ends: now };
-                match (spender.divide, spender.fleet.purses()) {
-                    (Divide::Lease, Some(purses)) => {
-                        let Some(held) = purses.spend(whole) else { continue };
+                match (spender.divide, spender.fleet.budget()) {
+                    (Divide::Lease, Some(budget_driver)) => {
+                        let Some(held) = budget_driver.try_use(whole) else { continue };
                         if let Some(held) = held {
                             // It is over before its sidecar notices, by whatever clock.
                             spent.ends = now + hold.mul_f64(0.98).as_nanos() as Nanos;
--- a/crates/hollow/src/member.rs
+++ b/crates/hollow/src/member.rs
@@ -8,9 +8,9 @@
 use cometcroft_membership::Name;
 use cometcroft_plan::{Command, CommandOutcome};
 use cometcroft_platform::{Platform, Tokio};
-use cometcroft_sidecar::accord::{Accord, AccordEvent, AccordParts, Failure};
+use cometcroft_sidecar::budget_driver::{BudgetParts, BudgetUse};
 use cometcroft_sidecar::fleet::{Fleet, FleetParts};
-use cometcroft_sidecar::purse::{BudgetParts, Use};
+use cometcroft_sidecar::plan_driver::{CommandError, PlanDriver, PlanEvent, PlanParts};
 use std::cell::Cell;
 use std::net::{IpAddr, SocketAddrV4};
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 
 type Measured = Counted<Tokio>;
 /// A member's part in the plan.
-pub type MemberPlan = Rc<Accord<Measured>>;
+pub type MemberPlan = Rc<PlanDriver<Measured>>;
 
 /// The daemon puts news of the fleet in force at most so often.
 const RECOUNT: Duration = Duration::from_millis(250);
@@ -80,7 +80,7 @@
             from: IpAddr::V4(*address.ip()),
             watcher: Box::new(|_| ()),
             budget: Some(budget_parts(address, settings, fleet)),
-            accord: Some(plan_parts(address, fleet, in_force.clone())),
+            plan: Some(plan_parts(address, fleet, in_force.clone())),
         };
         let instances = u32::try_from(fleet.members).unwrap_or(u32::MAX);
         let (handle, listener) = Fleet::new(platform.clone(), parts, instances, settings.seed);
@@ -109,7 +109,7 @@
 
     /// Its view of the fleet.
     pub fn view(&self) -> View {
-        self.fleet.ask(|machine| View { digest: machine.digest(), size: machine.present_count() })
+        self.fleet.with_membership(|machine| View { digest: machine.digest(), size: machine.present_count() })
     }
 
     /// The revision that is in force here; 0 while there is none.
@@ -131,10 +131,10 @@
         roles.push(Role::Voter);
         // Only voters know who leads.
         let own = self.address.to_string();
-        if self.plan().is_some_and(|plan| plan.json()["log"]["leader"] == own.as_str()) {
+        if self.plan().is_some_and(|plan| plan.status_json()["log"]["leader"] == own.as_str()) {
             roles.push(Role::Leader);
         }
-        if self.fleet.purses().is_some_and(|budgets| budgets.report().is_allocator) {
+        if self.fleet.budget().is_some_and(|budgets| budgets.report().is_allocator) {
             roles.push(Role::Allocator);
         }
         roles
@@ -142,13 +142,13 @@
 
     /// Its part in the plan.
     pub fn plan(&self) -> Option<MemberPlan> {
-        self.fleet.accord().cloned()
+        self.fleet.plan().cloned()
     }
 }
 
 /// Begins the plan's log.
 pub async fn found(plan: MemberPlan) -> Result<(), String> {
-    plan.found().await.map(drop).map_err(|failure| failure.to_string())
+    plan.bootstrap().await.map(drop).map_err(|failure| failure.to_string())
 }
 
 /// Proposes a revision of the plan, again under the same id where the answer is not known, as an operator would.
@@ -157,12 +157,12 @@
     let mut attempts = 1;
     loop {
         let word = Command::Propose { text: text.clone() };
-        let revision = match plan.say(word, "scale test", None, Some(PROPOSAL)).await {
+        let revision = match plan.propose(word, "scale test", None, Some(PROPOSAL)).await {
             Ok(CommandOutcome::Applied { number, .. }) => Ok(number),
-            Ok(CommandOutcome::Rejected(error)) => Err(Failure::from(error)),
+            Ok(CommandOutcome::Rejected(error)) => Err(CommandError::from(error)),
             Err(failure) => Err(failure),
         };
-        if attempts < PROPOSAL_ATTEMPTS && revision.as_ref().is_err_and(Failure::unknown) {
+        if attempts < PROPOSAL_ATTEMPTS && revision.as_ref().is_err_and(CommandError::is_outcome_unknown) {
             attempts += 1;
             continue;
         }
@@ -173,9 +173,9 @@
 /// Puts in force what is agreed, at the pace of the daemon.
 async fn put_in_force(platform: Measured, fleet: Rc<Fleet<Measured>>) {
     loop {
-        fleet.recounted().await;
-        if let Some(plan) = fleet.accord() {
-            plan.put_in_force();
+        fleet.changed().await;
+        if let Some(plan) = fleet.plan() {
+            plan.mark_in_force();
         }
         platform.sleep(RECOUNT).await;
     }
@@ -221,7 +221,7 @@
 fn budget_parts(address: SocketAddrV4, settings: &MemberSettings, fleet: &FleetSettings) -> BudgetParts {
     BudgetParts {
         config: budget_config(address, fleet),
-        uses: vec![Use::Retries],
+        uses: vec![BudgetUse::Retries],
         // The seed is one member's alone, and each starts once.
         id: fastrand::Rng::with_seed(!settings.seed).u64(1..),
         listener: Box::new(|_| ()),
@@ -232,11 +232,11 @@
     address: SocketAddrV4,
     fleet: &FleetSettings,
     in_force: Rc<Cell<Option<(u32, Duration)>>>,
-) -> AccordParts {
+) -> PlanParts {
     let listener = Box::new(move |event| {
-        if let AccordEvent::InForce { revision, .. } = event {
+        if let PlanEvent::InForce { revision, .. } = event {
             in_force.set(Some((revision, monotonic())));
         }
     });
-    AccordParts { config: plan_config(address, fleet), wait: PLAN_WAIT, divides: true, listener }
+    PlanParts { config: plan_config(address, fleet), wait: PLAN_WAIT, divides: true, listener }
 }
--- a/crates/hollow/src/real/tests.rs
+++ b/crates/hollow/src/real/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::member::{budget_config, plan_config};
 use cometcroft_sidecar::config::Config;
-use cometcroft_sidecar::operator::Operator;
+use cometcroft_sidecar::operator_file::OperatorFile;
 
 fn fleet() -> FleetSettings {
     let at = |last: u8| SocketAddrV4::new(Ipv4Addr::new(127, 20, 0, last), 7000);
@@ -18,7 +18,7 @@
 #[test]
 fn a_real_sidecar_reads_the_budgets_and_the_log_that_hollow_members_have() {
     let (fleet, own) = (fleet(), SocketAddrV4::new(Ipv4Addr::new(127, 20, 0, 9), 7000));
-    let operator = Operator::parse(&operator_text(own, &fleet), "operator.toml").expect("it reads");
+    let operator = OperatorFile::parse(&operator_text(own, &fleet), "operator.toml").expect("it reads");
     let section = operator.fleet.expect("it is a member");
     let zones = vec!["z0".to_owned()];
     let text = json!({
@@ -27,9 +27,10 @@
         "settings": sidecar_settings(&zones, 0, 9, fleet.members),
     });
     let config = Config::parse(&text.to_string(), |_| None).expect("it reads");
-    let (budget, _) = operator.budget.expect("it has budgets").told_to(&section, &config).expect("they fit");
+    let (budget, _) =
+        operator.budget.expect("it has budgets").driver_config(&section, &config).expect("they fit");
     assert_eq!(budget.digest(), budget_config(own, &fleet).digest());
-    let (plan, _) = operator.plan.expect("it has a plan").told_to(&section);
+    let (plan, _) = operator.plan.expect("it has a plan").driver_config(&section);
     assert_eq!(plan.digest, plan_config(own, &fleet).digest);
 }
 
--- a/crates/platformfaults/src/fleet.rs
+++ b/crates/platformfaults/src/fleet.rs
@@ -29,7 +29,7 @@
     pub(crate) async fn reached(&self) -> [usize; 2] {
         let until = Tokio.now() + MEET_AGAIN;
         loop {
-            let reached = [0, 1].map(|at| self.0[at].ask(|member| member.report().reached));
+            let reached = [0, 1].map(|at| self.0[at].with_membership(|member| member.report().reached));
             if reached == [MEMBERS; 2] || Tokio.now() >= until {
                 return reached;
             }
@@ -50,7 +50,7 @@
         from: IpAddr::V4(Ipv4Addr::LOCALHOST),
         watcher: Box::new(|_| ()),
         budget: None,
-        accord: None,
+        plan: None,
     };
     Ok((parts, Companions([first.0, second.0])))
 }
@@ -66,7 +66,7 @@
         from: IpAddr::V4(Ipv4Addr::LOCALHOST),
         watcher: Box::new(|_| ()),
         budget: None,
-        accord: None,
+        plan: None,
     };
     let (fleet, listener) = Fleet::new(Tokio, parts, INSTANCES, u64::from(address.port()));
     Tokio.detach(fleet.clone().run(listener));
--- a/crates/sidecar/src/force.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 /// What is put in force where.
-pub(crate) struct Force<C: HttpBackend> {
+pub(crate) struct ActiveSettings<C: HttpBackend> {
     pub frontend: Rc<Frontend<C>>,
     pub host: Rc<Host<C>>,
     pub directory: Rc<Directory>,
@@ -23,12 +23,12 @@
     pub fields: Rc<RefCell<Rc<[Field]>>>,
     pub fleet: Option<Rc<Fleet<C::Platform>>>,
     /// What the file says, but for what is the fleet's to tell; kept where there is a fleet.
-    pub said: RefCell<Option<(Settings, Sockets)>>,
+    pub file_settings: RefCell<Option<(Settings, Sockets)>>,
 }
 
-impl<C: HttpBackend> Force<C> {
+impl<C: HttpBackend> ActiveSettings<C> {
     /// A new file. One step: nothing is awaited between the first and the last of these.
-    pub fn file(&self, config: Config) {
+    pub fn apply_file(&self, config: Config) {
         self.life.tell(|machine, _| machine.longest(config.longest_deadline()));
         let Config { settings, net, fields, .. } = config;
         self.directory.retune(net.zones.clone());
@@ -37,26 +37,26 @@
         match &self.fleet {
             None => self.frontend.retune(settings, &net.classes, net.tenants),
             Some(_) => {
-                self.said.replace(Some((settings, net)));
-                self.fleet();
+                self.file_settings.replace(Some((settings, net)));
+                self.apply_fleet();
             }
         }
     }
 
     /// The fleet tells something else: how many are at work, this one's parts, the plan.
-    pub fn fleet(&self) {
-        let (said, Some(fleet)) = (self.said.borrow(), &self.fleet) else { return };
-        let Some((settings, net)) = &*said else { return };
+    pub fn apply_fleet(&self) {
+        let (file_settings, Some(fleet)) = (self.file_settings.borrow(), &self.fleet) else { return };
+        let Some((settings, net)) = &*file_settings else { return };
         let mut settings = settings.clone();
-        fleet.settle(&mut settings, &net.tenants);
+        fleet.apply_to_settings(&mut settings, &net.tenants);
         // Danger: a bar that the module hears of before the list is stricter would be tried all the same.
         let entries = self.directory.judge();
         if !entries.is_empty() {
             self.host.tell(Event::EndpointList { scope: ListScope::Changes, entries });
         }
         self.frontend.retune(settings, &net.classes, net.tenants.clone());
-        if let Some(accord) = fleet.accord() {
-            accord.put_in_force();
+        if let Some(plan) = fleet.plan() {
+            plan.mark_in_force();
         }
     }
 }
--- a/crates/sidecar/src/backend.rs
+++ b/crates/sidecar/src/backend.rs
@@ -114,7 +114,7 @@
     /// down what it reconnects to.
     async fn await_budget(&self, until: Instant) -> io::Result<()> {
         match &self.fleet {
-            Some(fleet) if !fleet.connects(until).await => {
+            Some(fleet) if !fleet.wait_to_connect(until).await => {
                 count(&self.counters.connections_barred);
                 Err(io::ErrorKind::QuotaExceeded.into())
             }
--- a/crates/sidecar/src/discovery/mod.rs
+++ b/crates/sidecar/src/discovery/mod.rs
@@ -219,7 +219,7 @@
         let kept = self.idle.take();
         let task = self.platform.spawn(async move {
             if let Some(fleet) = &fleet {
-                fleet.calls().await;
+                fleet.wait_to_call_discovery().await;
             }
             let ended = call::make(&platform, kept, question, directory.notices(), &shared, &mut bars).await;
             bars.finish(ended);
--- a/crates/sidecar/src/dispatch.rs
+++ b/crates/sidecar/src/dispatch.rs
@@ -78,7 +78,7 @@
     fn probe(&self, to: EndpointId) -> Later<Probed> {
         let carrier = self.clone();
         Box::pin(async move {
-            if carrier.fleet.as_ref().is_some_and(|fleet| !fleet.probes()) {
+            if carrier.fleet.as_ref().is_some_and(|fleet| !fleet.allow_probe()) {
                 count(&carrier.exchanger.counters.probes_barred);
                 return (Outcome::NotSent, None);
             }
@@ -120,7 +120,7 @@
         }
         let first = payload.begun.replace(payload.begun.get() + 1) == 0;
         if let Some(fleet) = &self.fleet
-            && !fleet.attempts(&payload.request, first, payload.ended.get())
+            && !fleet.allow_attempt(&payload.request, first, payload.ended.get())
         {
             count(&self.exchanger.counters.retries_barred);
             return Ended { outcome: Outcome::NotSent, report: None, answer: None };
--- a/crates/sidecar/src/fleet.rs
+++ b/crates/sidecar/src/fleet.rs
@@ -1,9 +1,9 @@
 //! This sidecar as a member of its fleet: the driver of [`Membership`] on a [`Platform`]. The data path never waits for
 //! it; what it learns reaches the module as settings.
 
-use crate::accord::{Accord, AccordParts};
+use crate::budget_driver::{BudgetDriver, BudgetParts, ConcurrencyGuard};
 use crate::http::server::Request;
-use crate::purse::{BudgetParts, Held, Purses};
+use crate::plan_driver::{PlanDriver, PlanParts};
 use cometcroft::Settings;
 use cometcroft_budget::is_budget_datagram;
 use cometcroft_membership::{Change, Config, Headcount, MAX_DATAGRAM, Membership, Output, Time};
@@ -43,7 +43,7 @@
     /// Its part in the fleet's budgets, if there are any.
     pub budget: Option<BudgetParts>,
     /// Its part in the fleet's plan, if there is one.
-    pub accord: Option<AccordParts>,
+    pub plan: Option<PlanParts>,
 }
 
 /// A member of a fleet.
@@ -61,8 +61,8 @@
     calls: Cell<usize>,
     visitors: Cell<usize>,
     watcher: Watcher,
-    purses: Option<Rc<Purses<P>>>,
-    accord: Option<Rc<Accord<P>>>,
+    budget: Option<Rc<BudgetDriver<P>>>,
+    plan: Option<Rc<PlanDriver<P>>>,
     /// Messages too long for a datagram that are on their way.
     letters: Cell<usize>,
 }
@@ -70,13 +70,13 @@
 impl<P: Platform> Fleet<P> {
     /// A member that starts now; `instances` is how many are at work by the settings.
     pub fn new(platform: P, parts: FleetParts<P>, instances: u32, seed: u64) -> (Rc<Fleet<P>>, P::Listener) {
-        let FleetParts { config, socket, listener, from, watcher, budget, accord } = parts;
+        let FleetParts { config, socket, listener, from, watcher, budget, plan } = parts;
         let origin = platform.now();
         let (tier, cautious, settle) =
             (config.tier, config.features.delayed_decrease, config.timing.headcount_settle);
         let unix = platform.unix().as_millis() as u64;
         let machine = Membership::new(config, Time::ZERO, unix, seed);
-        let accord = accord.map(|parts| Accord::new(platform.clone(), parts, machine.local_record(), !seed));
+        let plan = plan.map(|parts| PlanDriver::new(platform.clone(), parts, machine.local_record(), !seed));
         let fleet = Fleet {
             machine: RefCell::new(machine),
             socket,
@@ -90,8 +90,8 @@
             calls: Cell::new(0),
             visitors: Cell::new(0),
             watcher,
-            purses: budget.map(|parts| Purses::new(platform.clone(), parts)),
-            accord,
+            budget: budget.map(|parts| BudgetDriver::new(platform.clone(), parts)),
+            plan,
             letters: Cell::new(0),
             platform,
         };
@@ -109,17 +109,17 @@
         let mut buffer = [0; MAX_DATAGRAM + 1];
         loop {
             let due = self.origin + self.machine.borrow().next_at();
-            let lent = self.purses.as_ref().map(|purses| purses.next_at());
-            let agreed = self.accord.as_ref().map(|accord| accord.next_at());
+            let lent = self.budget.as_ref().map(|budget| budget.next_wakeup());
+            let agreed = self.plan.as_ref().map(|plan| plan.next_wakeup());
             tokio::select! {
                 biased;
                 // Danger: who floods it with datagrams must not keep it from its times.
                 () = self.platform.sleep_until(due) => self.machine.borrow_mut().tick(self.now()),
-                () = self.platform.sleep_until(lent.unwrap_or(due)), if lent.is_some() => self.tick_purses(),
-                () = self.platform.sleep_until(agreed.unwrap_or(due)), if agreed.is_some() => self.tick_accord(),
+                () = self.platform.sleep_until(lent.unwrap_or(due)), if lent.is_some() => self.tick_budget(),
+                () = self.platform.sleep_until(agreed.unwrap_or(due)), if agreed.is_some() => self.tick_plan(),
                 () = self.wake.notified() => {}
-                () = said(&self.accord) => {}
-                () = lacking(&self.purses) => self.tick_purses(),
+                () = said(&self.plan) => {}
+                () = lacking(&self.budget) => self.tick_budget(),
                 got = self.socket.receive(&mut buffer) => match got {
                     Ok((length, from)) => self.hear(from, &buffer[..length]),
                     // Out of memory or the like: not in a tight loop.
@@ -130,27 +130,25 @@
         }
     }
 
-    fn tick_purses(&self) {
-        if let Some(purses) = &self.purses {
-            purses.tick();
+    fn tick_budget(&self) {
+        if let Some(budget) = &self.budget {
+            budget.tick();
         }
     }
 
-    fn tick_accord(&self) {
-        if let Some(accord) = &self.accord {
-            accord.tick(&self.machine.borrow());
+    fn tick_plan(&self) {
+        if let Some(plan) = &self.plan {
+            plan.tick(&self.machine.borrow());
         }
     }
 
     fn hear(&self, from: SocketAddr, bytes: &[u8]) {
-        if let Some(accord) =
-            self.accord.as_ref().filter(|_| cometcroft_consensus::is_consensus_message(bytes))
-        {
-            accord.receive(bytes);
+        if let Some(plan) = self.plan.as_ref().filter(|_| cometcroft_consensus::is_consensus_message(bytes)) {
+            plan.receive(bytes);
             return;
         }
-        match (&self.purses, from) {
-            (Some(purses), SocketAddr::V4(from)) if is_budget_datagram(bytes) => purses.receive(from, bytes),
+        match (&self.budget, from) {
+            (Some(budget), SocketAddr::V4(from)) if is_budget_datagram(bytes) => budget.receive(from, bytes),
             _ => self.machine.borrow_mut().receive(self.now(), bytes),
         }
     }
@@ -182,16 +180,16 @@
         let machine = self.machine.borrow();
         let (reached, known) = machine.reach();
         let count = self.count.borrow_mut().observe(now, machine.present_in_tier(self.tier), reached, known);
-        let purses = self.purses.as_ref();
-        while let Some((to, bytes)) = purses.and_then(|purses| purses.output()) {
+        let budget = self.budget.as_ref();
+        while let Some((to, bytes)) = budget.and_then(|budget| budget.next_datagram()) {
             drop(self.socket.send(&bytes, to.into()));
         }
-        let accord = self.accord.as_ref();
-        while let Some((to, bytes)) = accord.and_then(|accord| accord.output()) {
+        let plan = self.plan.as_ref();
+        while let Some((to, bytes)) = plan.and_then(|plan| plan.next_message()) {
             self.deliver(to, bytes);
         }
-        let news =
-            purses.is_some_and(|purses| purses.unsettled()) || accord.is_some_and(|accord| accord.news());
+        let news = budget.is_some_and(|budget| budget.shares_changed())
+            || plan.is_some_and(|plan| plan.position_changed());
         if self.in_force.replace(count) != count || news {
             self.counted.notify_one();
         }
@@ -250,10 +248,10 @@
                     let longest = fleet.machine.borrow().max_view_size();
                     let mut head = [0; 4];
                     stream.read_exact(&mut head).await?;
-                    if let Some(accord) = fleet.accord.as_ref().filter(|_| head == *LETTER) {
+                    if let Some(plan) = fleet.plan.as_ref().filter(|_| head == *LETTER) {
                         stream.read_exact(&mut head).await?;
                         let letter = read(&mut stream, head, cometcroft_consensus::MAX_MESSAGE).await?;
-                        accord.receive(&letter);
+                        plan.receive(&letter);
                         return Ok(());
                     }
                     let theirs = read(&mut stream, head, longest).await?;
@@ -273,107 +271,107 @@
     /// It leaves in order.
     pub fn leave(&self) {
         self.machine.borrow_mut().leave(self.now());
-        if let Some(purses) = &self.purses {
-            purses.leave();
+        if let Some(budget) = &self.budget {
+            budget.leave();
         }
         self.wake.notify_one();
     }
 
     /// How many sidecars of its tier are at work, for whoever divides by it.
-    pub fn at_work(&self) -> u32 {
+    pub fn sidecar_count(&self) -> u32 {
         self.in_force.get()
     }
 
     /// The plan, if it takes part in one.
-    pub fn accord(&self) -> Option<&Rc<Accord<P>>> {
-        self.accord.as_ref()
+    pub fn plan(&self) -> Option<&Rc<PlanDriver<P>>> {
+        self.plan.as_ref()
     }
 
     /// Whether a request of this caller is taken; else after how long it may come again.
-    pub fn admit(&self, caller: Option<&[u8]>) -> Result<Option<Held<P>>, Duration> {
-        self.purses.as_ref().map_or(Ok(None), |purses| purses.admit(caller))
+    pub fn admit(&self, caller: Option<&[u8]>) -> Result<Option<ConcurrencyGuard<P>>, Duration> {
+        self.budget.as_ref().map_or(Ok(None), |budget| budget.admit(caller))
     }
 
     /// Whether an attempt may go out: the first may; further ones by the plan's policies and by the budget.
-    pub fn attempts(&self, request: &Request, first: bool, after: Option<RetryCause>) -> bool {
+    pub fn allow_attempt(&self, request: &Request, first: bool, after: Option<RetryCause>) -> bool {
         // Danger: a sidecar whose file divides nothing must not take the whole for its part.
-        let alone = 1.0 / f64::from(self.at_work().max(1));
-        let part = || self.purses.as_ref().map_or(alone, |purses| purses.share_of_retries().unwrap_or(alone));
-        let allowed = self.accord.as_ref().is_none_or(|accord| accord.attempts(request, first, after, part));
-        allowed && (first || self.purses.as_ref().is_none_or(|purses| purses.retries()))
+        let alone = 1.0 / f64::from(self.sidecar_count().max(1));
+        let part = || self.budget.as_ref().map_or(alone, |budget| budget.retry_share().unwrap_or(alone));
+        let allowed = self.plan.as_ref().is_none_or(|plan| plan.allow_attempt(request, first, after, part));
+        allowed && (first || self.budget.as_ref().is_none_or(|budget| budget.allow_retry()))
     }
 
     /// Whether a probe may go out.
-    pub fn probes(&self) -> bool {
-        self.purses.as_ref().is_none_or(|purses| purses.probes())
+    pub fn allow_probe(&self) -> bool {
+        self.budget.as_ref().is_none_or(|budget| budget.allow_probe())
     }
 
     /// Waits until a new connection may be made, until then at the latest; whether it may.
-    pub async fn connects(&self, until: Instant) -> bool {
-        match &self.purses {
-            Some(purses) => purses.connects(until).await,
+    pub async fn wait_to_connect(&self, until: Instant) -> bool {
+        match &self.budget {
+            Some(budget) => budget.wait_to_connect(until).await,
             None => true,
         }
     }
 
     /// Waits until discovery may be called.
-    pub async fn calls(&self) {
-        if let Some(purses) = &self.purses {
-            purses.calls().await;
+    pub async fn wait_to_call_discovery(&self) {
+        if let Some(budget) = &self.budget {
+            budget.wait_to_call_discovery().await;
         }
     }
 
     /// Puts what the fleet knows into settings: how many are at work, this one's parts of the tenants' quotas, and what
     /// the revision in force allows.
-    pub fn settle(&self, settings: &mut Settings, tenants: &[String]) {
-        settings.instances = self.at_work();
-        if let Some(purses) = &self.purses {
-            purses.settle(settings, tenants);
+    pub fn apply_to_settings(&self, settings: &mut Settings, tenants: &[String]) {
+        settings.instances = self.sidecar_count();
+        if let Some(budget) = &self.budget {
+            budget.apply_to_settings(settings, tenants);
         }
-        if let Some(accord) = &self.accord {
-            accord.settle(settings);
+        if let Some(plan) = &self.plan {
+            plan.apply_to_settings(settings);
         }
     }
 
     /// Its budgets, if it has any.
-    pub fn purses(&self) -> Option<&Rc<Purses<P>>> {
-        self.purses.as_ref()
+    pub fn budget(&self) -> Option<&Rc<BudgetDriver<P>>> {
+        self.budget.as_ref()
     }
 
     /// Waits until that is another number, or its parts of the tenants' quotas are.
-    pub async fn recounted(&self) {
+    pub async fn changed(&self) {
         self.counted.notified().await;
     }
 
     /// Looks at the machine.
-    pub fn ask<T>(&self, what: impl FnOnce(&Membership) -> T) -> T {
+    pub fn with_membership<T>(&self, what: impl FnOnce(&Membership) -> T) -> T {
         what(&self.machine.borrow())
     }
 
     /// Its view as JSON, for the operators' door.
-    pub fn json(&self) -> String {
-        let report = self.ask(Membership::report);
+    pub fn status_json(&self) -> String {
+        let report = self.with_membership(Membership::report);
         let mut value = serde_json::to_value(report).unwrap_or_default();
-        value["at_work"] = self.at_work().into();
-        if let Some(purses) = &self.purses {
-            value["budgets"] = serde_json::to_value(purses.report()).unwrap_or_default();
+        value["at_work"] = self.sidecar_count().into();
+        if let Some(budget) = &self.budget {
+            value["budgets"] = serde_json::to_value(budget.report()).unwrap_or_default();
         }
         value.to_string()
     }
 }
 
 /// Waits until a use was refused for lack; for ever where nothing is divided.
-async fn lacking<P: Platform>(purses: &Option<Rc<Purses<P>>>) {
-    match purses {
-        Some(purses) => purses.lacks.notified().await,
+async fn lacking<P: Platform>(budget: &Option<Rc<BudgetDriver<P>>>) {
+    match budget {
+        Some(budget) => budget.shortage.notified().await,
         None => std::future::pending().await,
     }
 }
 
 /// Waits until something is to be said; for ever where there is no plan.
-async fn said<P: Platform>(accord: &Option<Rc<Accord<P>>>) {
-    match accord {
-        Some(accord) => accord.wake.notified().await,
+async fn said<P: Platform>(plan: &Option<Rc<PlanDriver<P>>>) {
+    match plan {
+        Some(plan) => plan.wake.notified().await,
         None => std::future::pending().await,
     }
 }
--- a/crates/sidecar/src/frontend/waiting.rs
+++ b/crates/sidecar/src/frontend/waiting.rs
@@ -1,6 +1,7 @@
 //! Waiting for an outcome: a request becomes a session, and its client is heard meanwhile.
 
 use super::{Frontend, HttpBackend, StreamOf};
+use crate::budget_driver::ConcurrencyGuard as Spent;
 use crate::classes::Form;
 use crate::counters::count;
 use crate::dispatch::Payload;
@@ -9,7 +10,6 @@
 use crate::http::server::{CALL_ID, Connection, Request, Status};
 use crate::http::{Fault, Piece};
 use crate::lifecycle::Machine;
-use crate::purse::Held as Spent;
 use crate::session::{Opening, Verdict};
 use crate::upload::{Patience, Upload};
 use bytes::Bytes;
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -4,8 +4,9 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-pub mod accord;
+mod active_settings;
 pub mod backend;
+pub mod budget_driver;
 pub mod classes;
 pub mod config;
 pub mod counters;
@@ -13,41 +14,40 @@
 pub mod directory;
 pub mod discovery;
 pub mod dispatch;
-pub mod door;
 pub mod endpoint_list;
 pub mod exchange;
 pub mod figures;
 pub mod fleet;
-mod force;
 pub mod freshness;
 pub mod frontend;
 pub mod http;
 pub mod lifecycle;
 pub mod logging;
 pub mod notices;
-pub mod operator;
+pub mod operator_file;
+pub mod ops;
+pub mod ops_commands;
+pub mod plan_driver;
 pub mod probe;
-pub mod purse;
 pub mod retune;
 pub mod session;
 pub mod sockets;
 pub mod start_clock;
 pub mod upload;
-pub mod words;
 
+use crate::active_settings::ActiveSettings;
 use crate::backend::Pool;
 use crate::classes::Register;
 use crate::config::Config;
 use crate::counters::Counters;
 use crate::directory::Directory;
 use crate::dispatch::HttpCarrier;
-use crate::door::Door;
 use crate::endpoint_list::EndpointList;
 use crate::exchange::Exchanger;
 use crate::fleet::{Fleet, FleetParts};
-use crate::force::Force;
 use crate::frontend::{Frontend, HttpBackend};
 use crate::lifecycle::{Life, Machine};
+use crate::ops::OpsEndpoint;
 use crate::retune::Control;
 use crate::session::Host;
 use cometcroft::{Event, ListScope};
@@ -68,7 +68,7 @@
 /// Waits until another number of sidecars is at work, or its parts have changed; for ever where there is no fleet.
 async fn recounted<P: Platform>(fleet: &Option<Rc<Fleet<P>>>) {
     match fleet {
-        Some(fleet) => fleet.recounted().await,
+        Some(fleet) => fleet.changed().await,
         None => std::future::pending().await,
     }
 }
@@ -118,7 +118,7 @@
     let fields = Rc::new(RefCell::new(config.fields.into()));
     let carrier = wrap(HttpCarrier { exchanger, fields: fields.clone(), fleet: fleet.clone() });
     let register = Register::new(&config.net.classes, &config.settings.classes);
-    let said = fleet.as_ref().map(|_| (config.settings.clone(), config.net.clone()));
+    let file_settings = fleet.as_ref().map(|_| (config.settings.clone(), config.net.clone()));
     let host =
         Host::new(carrier, config.settings, seed, ORIGIN, counters.clone()).map_err(io::Error::other)?;
     counters.figures.name(&config.net.classes);
@@ -158,15 +158,15 @@
         });
         [task, leave]
     });
-    let door = ops.map(|ops| {
-        let door = Door::new(
+    let ops_endpoint = ops.map(|ops| {
+        let ops_endpoint = OpsEndpoint::new(
             host.clone(),
             directory.clone(),
             life.clone(),
             counters.clone(),
             (fleet.clone(), reserve / 3),
         );
-        platform.spawn(door.run(ops))
+        platform.spawn(ops_endpoint.run(ops))
     });
     let frontend = Frontend::new(
         host.clone(),
@@ -177,7 +177,7 @@
         [to_clients, reserve / 6, config.memory / 4],
         fleet.clone(),
     );
-    let force = Force {
+    let active = ActiveSettings {
         frontend: frontend.clone(),
         host: host.clone(),
         directory: directory.clone(),
@@ -185,38 +185,38 @@
         life: life.clone(),
         fields,
         fleet: fleet.clone(),
-        said: RefCell::new(said),
+        file_settings: RefCell::new(file_settings),
     };
-    let accord = fleet.as_ref().and_then(|fleet| fleet.accord());
-    if let Some(accord) = accord {
-        let (judging, asked) = (accord.clone(), life.clone());
-        directory.judge_by(Box::new(move |name, zone, group| judging.verdict(name, zone, group)));
-        accord.ready_by(move || asked.ask(Machine::wanted));
+    let plan = fleet.as_ref().and_then(|fleet| fleet.plan());
+    if let Some(plan) = plan {
+        let (judging, asked) = (plan.clone(), life.clone());
+        directory.judge_by(Box::new(move |name, zone, group| judging.weight_adjustment(name, zone, group)));
+        plan.set_readiness(move || asked.ask(Machine::wanted));
     }
     let tuner = platform.clone();
     let tune = platform.spawn(async move {
         loop {
             tokio::select! {
                 biased;
-                config = control.next() => force.file(config),
-                () = recounted(&force.fleet) => {
-                    force.fleet();
+                config = control.next() => active.apply_file(config),
+                () = recounted(&active.fleet) => {
+                    active.apply_fleet();
                     // Danger: hundreds that join in a second would have the module take new settings for each.
                     tuner.sleep(RECOUNT).await;
                 }
             }
         }
     });
-    if let Some(accord) = accord {
-        accord.first().await;
+    if let Some(plan) = plan {
+        plan.wait_for_plan().await;
     }
     frontend.run(listener).await;
     tune.abort();
     for task in members.into_iter().flatten() {
         task.abort();
     }
-    if let Some(door) = door {
-        door.abort();
+    if let Some(ops_endpoint) = ops_endpoint {
+        ops_endpoint.abort();
     }
     watch.abort();
     sweep.abort();
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -8,14 +8,14 @@
 use cometcroft_plan::{RetryAttributes, RetryCause, RevisionContent};
 use cometcroft_platform::{Platform, Tokio};
 use cometcroft_sidecar::Parts;
-use cometcroft_sidecar::accord::{AccordEvent, AccordParts};
+use cometcroft_sidecar::budget_driver::{BudgetParts, BudgetUse};
 use cometcroft_sidecar::config::Config;
 use cometcroft_sidecar::counters::Counters;
 use cometcroft_sidecar::fleet::FleetParts;
 use cometcroft_sidecar::lifecycle::Life;
 use cometcroft_sidecar::logging;
-use cometcroft_sidecar::operator::{BudgetSection, FleetSection, Operator, PlanSection};
-use cometcroft_sidecar::purse::{BudgetParts, Use};
+use cometcroft_sidecar::operator_file::{BudgetSection, FleetSection, OperatorFile, PlanSection};
+use cometcroft_sidecar::plan_driver::{PlanEvent, PlanParts};
 use cometcroft_sidecar::retune::Control;
 use std::hash::{BuildHasher, RandomState};
 use std::path::PathBuf;
@@ -53,15 +53,15 @@
 }
 
 fn check(file: &std::path::Path) -> ExitCode {
-    match Operator::load(file) {
+    match OperatorFile::load(file) {
         Ok(operator) => {
-            let told = operator.fleet.as_ref().map(FleetSection::told);
+            let told = operator.fleet.as_ref().map(FleetSection::summary);
             println!("{}", told.unwrap_or_else(|| "nothing is switched on".to_owned()));
             if let (Some(budget), Some(fleet)) = (&operator.budget, &operator.fleet) {
-                println!("{}", budget.told(fleet));
+                println!("{}", budget.summary(fleet));
             }
             if let (Some(plan), Some(fleet)) = (&operator.plan, &operator.fleet) {
-                println!("{}", plan.told(fleet));
+                println!("{}", plan.summary(fleet));
             }
             ExitCode::SUCCESS
         }
@@ -151,14 +151,14 @@
         }
     };
     let operator = cli.operator.or_else(|| std::env::var_os("LB_OPERATOR").map(PathBuf::from));
-    let operator = match operator.map(|file| Operator::load(&file)).transpose() {
+    let operator = match operator.map(|file| OperatorFile::load(&file)).transpose() {
         Ok(operator) => operator.unwrap_or_default(),
         Err(error) => {
             eprintln!("cometcroft: {error}");
             return ExitCode::from(2);
         }
     };
-    let Operator { fleet, budget, plan } = operator;
+    let OperatorFile { fleet, budget, plan } = operator;
     let fleet = fleet.map(|section| joins(section, budget.as_ref(), plan.as_ref(), &config));
     let fleet = match fleet.transpose() {
         Ok(fleet) => fleet,
@@ -190,7 +190,7 @@
 }
 
 /// What a member of a fleet is told: as a member, of its budgets and its plan if there are any, and the file's section.
-type Joins = (cometcroft_membership::Config, Option<BudgetParts>, Option<AccordParts>, FleetSection);
+type Joins = (cometcroft_membership::Config, Option<BudgetParts>, Option<PlanParts>, FleetSection);
 
 fn joins(
     section: FleetSection,
@@ -198,8 +198,8 @@
     plan: Option<&PlanSection>,
     config: &Config,
 ) -> Result<Joins, String> {
-    let member = section.member(config)?;
-    let budget = budget.map(|budget| budget.told_to(&section, config)).transpose()?;
+    let member = section.membership_config(config)?;
+    let budget = budget.map(|budget| budget.driver_config(&section, config)).transpose()?;
     let budget = budget.map(|(config, uses)| BudgetParts {
         config,
         uses,
@@ -212,15 +212,15 @@
             Event::LeaseObtained => tracing::info!("has parts of the budgets"),
         }),
     });
-    let divides = budget.as_ref().is_some_and(|budget| budget.uses.contains(&Use::Retries));
-    let plan = plan.map(|plan| plan.told_to(&section)).map(|(config, wait)| AccordParts {
+    let divides = budget.as_ref().is_some_and(|budget| budget.uses.contains(&BudgetUse::Retries));
+    let plan = plan.map(|plan| plan.driver_config(&section)).map(|(config, wait)| PlanParts {
         config,
         wait,
         divides,
         listener: Box::new(|event| match event {
-            AccordEvent::InForce { revision, index } => tracing::info!(revision, index, "revision in force"),
-            AccordEvent::ByFile => tracing::warn!("no plan was heard of in time: serves by its file"),
-            AccordEvent::Storm(on) => tracing::warn!(on, "storm of retries"),
+            PlanEvent::InForce { revision, index } => tracing::info!(revision, index, "revision in force"),
+            PlanEvent::NoPlan => tracing::warn!("no plan was heard of in time: serves by its file"),
+            PlanEvent::RetryStorm(on) => tracing::warn!(on, "storm of retries"),
         }),
     });
     Ok((member, budget, plan, section))
@@ -273,8 +273,8 @@
 }
 
 /// Opens a member's sockets, and has its changes told in the log.
-async fn join((member, budget, accord, section): Joins) -> std::io::Result<FleetParts<Tokio>> {
-    let at = section.listens();
+async fn join((member, budget, plan, section): Joins) -> std::io::Result<FleetParts<Tokio>> {
+    let at = section.listen_address();
     let named = |error: std::io::Error| std::io::Error::new(error.kind(), format!("fleet: {at}: {error}"));
     let socket = UdpSocket::bind(at).await.map_err(named)?;
     let listener = TcpListener::bind(socket.local_addr()?).await.map_err(named)?;
@@ -285,5 +285,5 @@
             "member changed"
         );
     });
-    Ok(FleetParts { config: member, socket, listener, from: at.ip(), watcher, budget, accord })
+    Ok(FleetParts { config: member, socket, listener, from: at.ip(), watcher, budget, plan })
 }
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator_file.rs
@@ -1,7 +1,7 @@
 //! The operator's file: what is off unless it is switched on here. `deploy/operator.toml` is an example with comments.
 
+use crate::budget_driver::BudgetUse;
 use crate::config::Config;
-use crate::purse::Use;
 use cometcroft_budget as budget;
 use cometcroft_budget::{Limit, LimitKind};
 use cometcroft_consensus as consensus;
@@ -20,8 +20,8 @@
 
 /// The file.
 #[derive(Debug, Clone, Default, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Operator {
+#[serde(rename = "Operator", deny_unknown_fields)]
+pub struct OperatorFile {
     /// Membership among the sidecars.
     pub fleet: Option<FleetSection>,
     /// Budgets of the whole fleet.
@@ -75,12 +75,12 @@
     }
 
     /// What a sidecar is told of the plan.
-    pub fn told_to(&self, fleet: &FleetSection) -> (consensus::Config, Duration) {
+    pub fn driver_config(&self, fleet: &FleetSection) -> (consensus::Config, Duration) {
         (self.config(fleet), self.wait.exact())
     }
 
     /// What the section comes to, in a line.
-    pub fn told(&self, fleet: &FleetSection) -> String {
+    pub fn summary(&self, fleet: &FleetSection) -> String {
         let config = self.config(fleet);
         let own = if config.voter_index().is_some() { "one of them" } else { "not one of them" };
         format!(
@@ -109,16 +109,16 @@
     pub weight: u32,
     /// What is divided.
     #[serde(rename = "whole", default)]
-    pub wholes: Vec<WholeSection>,
+    pub wholes: Vec<LimitSection>,
 }
 
 /// `[[budget.whole]]`.
 #[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct WholeSection {
+#[serde(rename = "WholeSection", deny_unknown_fields)]
+pub struct LimitSection {
     /// What it is spent on.
     #[serde(rename = "use")]
-    pub what: UseWord,
+    pub what: UseKey,
     /// Whose requests.
     pub tenant: Option<String>,
     /// So many a second.
@@ -136,8 +136,8 @@
 
 /// What a whole may be spent on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum UseWord {
+#[serde(rename = "UseWord", rename_all = "kebab-case")]
+pub enum UseKey {
     /// Requests of a tenant.
     Tenant,
     /// Requests open at once.
@@ -206,17 +206,17 @@
     MOST
 }
 
-impl Operator {
+impl OperatorFile {
     /// Reads the file.
-    pub fn load(path: &Path) -> Result<Operator, FileError> {
+    pub fn load(path: &Path) -> Result<OperatorFile, FileError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| FileError::of(&file, e))?;
-        Operator::parse(&text, &file)
+        OperatorFile::parse(&text, &file)
     }
 
     /// Reads the file's text; `file` is only named in errors.
-    pub fn parse(text: &str, file: &str) -> Result<Operator, FileError> {
-        let operator: Operator = cometcroft_tomlfile::read(text, file)?;
+    pub fn parse(text: &str, file: &str) -> Result<OperatorFile, FileError> {
+        let operator: OperatorFile = cometcroft_tomlfile::read(text, file)?;
         if let Some(fleet) = &operator.fleet {
             fleet.check().map_err(|(field, reason)| {
                 let at = text.find(&format!("\n{field}")).map_or(0, |at| at + 1);
@@ -301,7 +301,7 @@
     }
 
     /// What a sidecar of this configuration is told as a member.
-    pub fn member(&self, config: &Config) -> Result<membership::Config, String> {
+    pub fn membership_config(&self, config: &Config) -> Result<membership::Config, String> {
         let name = Name::new(&config.name).filter(|name| !name.as_str().is_empty());
         let name = name.ok_or_else(|| format!("{:?} is no name of a member: 1 to 40 bytes", config.name))?;
         let zone = config.net.zones.get(config.settings.zone.0).map(String::as_str).unwrap_or_default();
@@ -316,12 +316,12 @@
     }
 
     /// Where it listens.
-    pub fn listens(&self) -> SocketAddr {
+    pub fn listen_address(&self) -> SocketAddr {
         SocketAddr::V4(self.bind)
     }
 
     /// What the file comes to, in a few lines.
-    pub fn told(&self) -> String {
+    pub fn summary(&self) -> String {
         let timing = self.timing();
         let advertised = self.advertise.unwrap_or(self.bind);
         format!(
@@ -346,11 +346,11 @@
 type Wrong = (Option<usize>, &'static str, String);
 
 impl BudgetSection {
-    fn wholes(&self, longest: Duration) -> Result<Vec<(Limit, Use)>, Wrong> {
+    fn wholes(&self, longest: Duration) -> Result<Vec<(Limit, BudgetUse)>, Wrong> {
         let thousandths = |figure: f64| (figure * 1000.0).round() as u64;
-        let each = |(i, section): (usize, &WholeSection)| {
+        let each = |(i, section): (usize, &LimitSection)| {
             let bad = |field, reason: &str| Err((Some(i), field, reason.to_owned()));
-            let (level, tenant) = (section.what == UseWord::Open, section.what == UseWord::Tenant);
+            let (level, tenant) = (section.what == UseKey::Open, section.what == UseKey::Tenant);
             if section.tenant.is_some() != tenant {
                 return bad(
                     "tenant",
@@ -382,15 +382,15 @@
                 }
             };
             let (name, what) = match (section.what, &section.tenant) {
-                (UseWord::Tenant, tenant) => {
+                (UseKey::Tenant, tenant) => {
                     let tenant = tenant.clone().unwrap_or_default();
-                    (format!("tenant {tenant}"), Use::Tenant(tenant))
+                    (format!("tenant {tenant}"), BudgetUse::Tenant(tenant))
                 }
-                (UseWord::Open, _) => ("open".to_owned(), Use::Open),
-                (UseWord::Retries, _) => ("retries".to_owned(), Use::Retries),
-                (UseWord::Connections, _) => ("connections".to_owned(), Use::Connections),
-                (UseWord::Probes, _) => ("probes".to_owned(), Use::Probes),
-                (UseWord::Discovery, _) => ("discovery".to_owned(), Use::Discovery),
+                (UseKey::Open, _) => ("open".to_owned(), BudgetUse::Open),
+                (UseKey::Retries, _) => ("retries".to_owned(), BudgetUse::Retries),
+                (UseKey::Connections, _) => ("connections".to_owned(), BudgetUse::Connections),
+                (UseKey::Probes, _) => ("probes".to_owned(), BudgetUse::Probes),
+                (UseKey::Discovery, _) => ("discovery".to_owned(), BudgetUse::Discovery),
             };
             Ok((Limit { name, kind, size, guaranteed: thousandths(section.floor) }, what))
         };
@@ -405,7 +405,11 @@
         config.validate().map_err(|(field, reason)| (None, field, reason))
     }
 
-    fn config(&self, fleet: &FleetSection, longest: Duration) -> Result<(budget::Config, Vec<Use>), Wrong> {
+    fn config(
+        &self,
+        fleet: &FleetSection,
+        longest: Duration,
+    ) -> Result<(budget::Config, Vec<BudgetUse>), Wrong> {
         let address = fleet.advertise.unwrap_or(fleet.bind);
         let lease = self.lease.exact();
         let mut config = budget::Config::new(&fleet.name, address, self.keepers.clone(), lease);
@@ -416,18 +420,18 @@
     }
 
     /// What a sidecar is told of the budgets, and what each whole is spent on.
-    pub fn told_to(
+    pub fn driver_config(
         &self,
         fleet: &FleetSection,
         config: &Config,
-    ) -> Result<(budget::Config, Vec<Use>), String> {
+    ) -> Result<(budget::Config, Vec<BudgetUse>), String> {
         // The sidecar itself ends a request at its deadline.
         let told = self.config(fleet, config.longest_deadline());
         told.map_err(|(_, field, reason)| format!("{field}: {reason}"))
     }
 
     /// What the section comes to, in a few lines.
-    pub fn told(&self, fleet: &FleetSection) -> String {
+    pub fn summary(&self, fleet: &FleetSection) -> String {
         let Ok((config, _)) = self.config(fleet, Duration::from_secs(1)) else { return String::new() };
         let mut text = format!(
             "budgets of {:016x}: {} keepers, lent for {:?}, a new divider after {:?}",
--- a/crates/sidecar/src/operator/tests.rs
+++ b/crates/sidecar/src/operator_file/tests.rs
@@ -5,12 +5,12 @@
 #[test]
 fn the_example_reads_and_errors_name_file_line_field_and_reason() {
     let example = include_str!("../../../../deploy/operator.toml");
-    let operator = Operator::parse(example, "operator.toml").expect("the example reads");
+    let operator = OperatorFile::parse(example, "operator.toml").expect("the example reads");
     assert!(operator.fleet.is_some());
-    let told = |text: &str| Operator::parse(text, "o.toml").expect_err("refused").to_string();
+    let told = |text: &str| OperatorFile::parse(text, "o.toml").expect_err("refused").to_string();
     let base = "[fleet]\nname = \"f\"\nbind = \"127.0.0.1:7946\"\n";
-    assert!(Operator::parse(base, "o.toml").is_ok());
-    assert!(Operator::parse("", "o.toml").expect("an empty file").fleet.is_none());
+    assert!(OperatorFile::parse(base, "o.toml").is_ok());
+    assert!(OperatorFile::parse("", "o.toml").expect("an empty file").fleet.is_none());
     let unknown = told(&format!("{base}longest_paus = \"2s\"\n"));
     assert!(unknown.starts_with("o.toml:4:1: longest_paus: unknown field"), "{unknown}");
     assert!(unknown.contains("did you mean \"longest_pause\""), "{unknown}");
@@ -37,16 +37,16 @@
 #[test]
 fn budgets_read_and_what_makes_no_sense_names_its_field() {
     let text = with_budgets();
-    let operator = Operator::parse(&text, "o.toml").expect("the example reads");
+    let operator = OperatorFile::parse(&text, "o.toml").expect("the example reads");
     let (fleet, budget) = (operator.fleet.expect("a fleet"), operator.budget.expect("budgets"));
     let (config, uses) = budget.config(&fleet, Duration::from_secs(3)).expect("it makes sense");
-    let shared = [Use::Retries, Use::Connections, Use::Probes, Use::Discovery];
-    assert_eq!(uses[..2], [Use::Tenant("kiosks".into()), Use::Open]);
+    let shared = [BudgetUse::Retries, BudgetUse::Connections, BudgetUse::Probes, BudgetUse::Discovery];
+    assert_eq!(uses[..2], [BudgetUse::Tenant("kiosks".into()), BudgetUse::Open]);
     assert_eq!(uses[2..], shared);
     assert_eq!((config.pool(0), config.guaranteed_share(0)), (185_000, 5_000));
     let told = |from: &str, to: &str| {
         assert!(text.contains(from), "{from}");
-        Operator::parse(&text.replacen(from, to, 1), "o.toml").expect_err(to).to_string()
+        OperatorFile::parse(&text.replacen(from, to, 1), "o.toml").expect_err(to).to_string()
     };
     for (from, to, field, reason) in [
         ("burst = 200.0", "burts = 1", "burts", "did you mean \"burst\""),
@@ -63,5 +63,5 @@
         assert!(error.contains(&format!(": {field}: ")) && error.contains(reason), "{error}");
     }
     let alone = text.replacen("[fleet]", "[flee]", 1);
-    assert!(Operator::parse(&alone, "o.toml").is_err());
+    assert!(OperatorFile::parse(&alone, "o.toml").is_err());
 }
--- a/crates/sidecar/src/door.rs
+++ b/crates/sidecar/src/ops.rs
@@ -8,9 +8,9 @@
 use crate::frontend::{admit, bid_farewell, refuse};
 use crate::http::server::{Connection, Request, Status, Step};
 use crate::lifecycle::{Life, Machine};
+use crate::ops_commands;
 use crate::session::{Carrier, Host};
 use crate::sockets::send_promptly;
-use crate::words;
 use cometcroft_platform::Platform;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -52,7 +52,7 @@
         b"/ops/drain/start" => (Call::Drain, "PUT"),
         b"/ops/drain/stop" => (Call::Undrain, "PUT"),
         b"/ops/fleet" => (Call::Fleet, "GET"),
-        _ => match path.strip_prefix(b"/ops/plan").and_then(words::method) {
+        _ => match path.strip_prefix(b"/ops/plan").and_then(ops_commands::allowed_method) {
             Some(due) => (Call::Plan, due),
             None => return Err((Status::NotFound, None)),
         },
@@ -61,7 +61,7 @@
 }
 
 /// The door, and what it tells of.
-pub struct Door<C: Carrier> {
+pub struct OpsEndpoint<C: Carrier> {
     host: Rc<Host<C>>,
     directory: Rc<Directory>,
     life: Rc<Life<C::Platform>>,
@@ -77,7 +77,7 @@
 
 type StreamOf<C> = <<C as Carrier>::Platform as Platform>::Stream;
 
-impl<C: Carrier> Door<C> {
+impl<C: Carrier> OpsEndpoint<C> {
     /// A door to what these tell, with so many places.
     pub fn new(
         host: Rc<Host<C>>,
@@ -85,8 +85,8 @@
         life: Rc<Life<C::Platform>>,
         counters: Rc<Counters>,
         (fleet, places): (Option<Rc<Fleet<C::Platform>>>, usize),
-    ) -> Rc<Door<C>> {
-        Rc::new(Door {
+    ) -> Rc<OpsEndpoint<C>> {
+        Rc::new(OpsEndpoint {
             host,
             directory,
             life,
@@ -196,13 +196,13 @@
                 Err(_) => (Status::Unavailable, String::new()),
             },
             Call::Fleet => match &self.fleet {
-                Some(fleet) => (Status::Ok, fleet.json() + "\n"),
+                Some(fleet) => (Status::Ok, fleet.status_json() + "\n"),
                 None => (Status::NotFound, String::new()),
             },
-            Call::Plan => match self.fleet.as_ref().and_then(|fleet| fleet.accord()) {
-                Some(accord) => {
+            Call::Plan => match self.fleet.as_ref().and_then(|fleet| fleet.plan()) {
+                Some(plan) => {
                     let path = request.path().strip_prefix(b"/ops/plan").unwrap_or_default();
-                    words::answer(accord, &self.directory, &self.life, path, request).await
+                    ops_commands::handle(plan, &self.directory, &self.life, path, request).await
                 }
                 None => (Status::NotFound, String::new()),
             },
--- a/crates/sidecar/src/words.rs
+++ b/crates/sidecar/src/ops_commands.rs
@@ -1,10 +1,10 @@
 //! Operators' words at the door: `/ops/plan` and what lies under it. A word's own fields come as a query, a text as the
 //! body; every refusal is JSON with a code, what is wrong, and what can be done.
 
-use crate::accord::{Accord, Failure};
 use crate::directory::Directory;
 use crate::http::server::{Request, Status};
 use crate::lifecycle::Life;
+use crate::plan_driver::{CommandError, PlanDriver};
 use cometcroft_consensus::ConsensusError;
 use cometcroft_plan::{Command, CommandOutcome, PermitTarget};
 use cometcroft_platform::Platform;
@@ -16,7 +16,7 @@
 const FOR_S: u32 = 300;
 
 /// What a path under `/ops/plan` asks for; else the method that would do, if there is such a path.
-pub fn method(path: &[u8]) -> Option<&'static str> {
+pub fn allowed_method(path: &[u8]) -> Option<&'static str> {
     match path {
         b"" => Some("GET"),
         b"/revision" => Some("GET"),
@@ -70,10 +70,10 @@
     number(query, field)?.ok_or_else(|| bad(field, "is missing"))
 }
 
-fn refused(failure: &Failure) -> (Status, Value) {
+fn refused(failure: &CommandError) -> (Status, Value) {
     let status = match failure {
-        failure if failure.unknown() => Status::GatewayTimeout,
-        Failure::Log(ConsensusError::NotBootstrapped | ConsensusError::TooManyProposals(_)) => {
+        failure if failure.is_outcome_unknown() => Status::GatewayTimeout,
+        CommandError::Log(ConsensusError::NotBootstrapped | ConsensusError::TooManyProposals(_)) => {
             Status::Unavailable
         }
         _ => Status::Conflict,
@@ -82,14 +82,14 @@
 }
 
 /// Answers a call under `/ops/plan`.
-pub async fn answer<P: Platform>(
-    accord: &Rc<Accord<P>>,
+pub async fn handle<P: Platform>(
+    plan: &Rc<PlanDriver<P>>,
     directory: &Directory,
     life: &Rc<Life<P>>,
     path: &[u8],
     request: &Request,
 ) -> (Status, String) {
-    let (status, value) = match said(accord, directory, life, path, request).await {
+    let (status, value) = match said(plan, directory, life, path, request).await {
         Ok(value) => (Status::Ok, value),
         Err(refused) => refused,
     };
@@ -101,18 +101,18 @@
 }
 
 /// A planned stop: this sidecar leaves, as after SIGTERM, once its permit is given; never if it is given back first.
-fn leave_in_turn<P: Platform>(accord: &Rc<Accord<P>>, life: &Rc<Life<P>>, permit: u32) {
-    let (accord, life) = (accord.clone(), life.clone());
-    let platform = accord.platform().clone();
+fn leave_in_turn<P: Platform>(plan: &Rc<PlanDriver<P>>, life: &Rc<Life<P>>, permit: u32) {
+    let (plan, life) = (plan.clone(), life.clone());
+    let platform = plan.platform().clone();
     platform.detach(async move {
-        if accord.granted(permit).await {
+        if plan.wait_for_permit(permit).await {
             life.begin();
         }
     });
 }
 
 async fn said<P: Platform>(
-    accord: &Rc<Accord<P>>,
+    plan: &Rc<PlanDriver<P>>,
     directory: &Directory,
     life: &Rc<Life<P>>,
     path: &[u8],
@@ -122,19 +122,19 @@
     let text = || String::from_utf8(request.body.to_vec()).map_err(|_| bad("body", "is no UTF-8"));
     let permit = |query: &Query| wanted::<u32>(query, "permit");
     let word = match path {
-        b"" => return Ok(accord.json()),
+        b"" => return Ok(plan.status_json()),
         b"/revision" => {
             let number = wanted(&query, "number")?;
-            return accord.text(number).map(Value::String).map_err(|failure| refused(&failure));
+            return plan.revision_text(number).map(Value::String).map_err(|failure| refused(&failure));
         }
         b"/refound" => {
-            let index = accord.found().await.map_err(|failure| refused(&failure))?;
+            let index = plan.bootstrap().await.map_err(|failure| refused(&failure))?;
             return Ok(json!({"founded": true, "index": index}));
         }
         b"/read" => Command::Noop,
         b"/propose" | b"/release" => {
             let text = text()?;
-            accord.leaves_enough(&text, &directory.listed()).map_err(|failure| refused(&failure))?;
+            plan.check_endpoints_left(&text, &directory.listed()).map_err(|failure| refused(&failure))?;
             match query.get("waves") {
                 None if path == b"/propose" => Command::Propose { text },
                 None => return Err(bad("waves", "is missing: shares in thousandths, such as 50,250,1000")),
@@ -150,8 +150,8 @@
         b"/rollback" => {
             let to = wanted(&query, "to")?;
             // A revision that was right once may leave too little of what is there now.
-            let text = accord.text(to).map_err(|failure| refused(&failure))?;
-            accord.leaves_enough(&text, &directory.listed()).map_err(|failure| refused(&failure))?;
+            let text = plan.revision_text(to).map_err(|failure| refused(&failure))?;
+            plan.check_endpoints_left(&text, &directory.listed()).map_err(|failure| refused(&failure))?;
             Command::RollBackTo { revision: to }
         }
         b"/pin" => Command::Pin { revision: wanted(&query, "revision")?, pinned: !query.contains_key("off") },
@@ -165,8 +165,8 @@
             let Some((_, zone, ..)) = row else {
                 return Err(bad("server", "no backend server of that name is listed here"));
             };
-            accord.spares(&name, &listed).map_err(|failure| refused(&failure))?;
-            let (zone, tier) = (zone.clone(), accord.tier());
+            plan.check_drain(&name, &listed).map_err(|failure| refused(&failure))?;
+            let (zone, tier) = (zone.clone(), plan.tier());
             Command::RequestPermit {
                 target: PermitTarget::Endpoint(name),
                 zone,
@@ -175,7 +175,7 @@
             }
         }
         b"/restart" => {
-            let (what, zone, tier) = accord.own();
+            let (what, zone, tier) = plan.own_permit_target();
             Command::RequestPermit {
                 target: what,
                 zone,
@@ -189,10 +189,10 @@
     };
     let reason = query.get("reason").map(String::as_str).unwrap_or_default();
     let (expects, id) = (number(&query, "expects")?, number(&query, "id")?);
-    match accord.say(word, reason, expects, id).await {
+    match plan.propose(word, reason, expects, id).await {
         Ok(CommandOutcome::Applied { index, number }) => {
             if path == b"/restart" && query.contains_key("leave") {
-                leave_in_turn(accord, life, number);
+                leave_in_turn(plan, life, number);
             }
             Ok(json!({"taken": true, "index": index, "number": number}))
         }
--- a/crates/sidecar/src/accord.rs
+++ b/crates/sidecar/src/plan_driver.rs
@@ -23,22 +23,22 @@
 use tokio::sync::Notify;
 
 /// The keepers are told where this one stands so often at least.
-const TELL: Duration = Duration::from_secs(1);
+const STATUS_INTERVAL: Duration = Duration::from_secs(1);
 /// What only the leader says is thought of so often.
-const STEWARD: Duration = Duration::from_millis(100);
+const CONTROLLER_INTERVAL: Duration = Duration::from_millis(100);
 /// Peers are looked up anew so often, and whoever was not heard of for so long stands nowhere.
-const MEET: Duration = Duration::from_millis(500);
-const HEARD: Duration = Duration::from_secs(4);
+const PEER_REFRESH_INTERVAL: Duration = Duration::from_millis(500);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(4);
 /// An operator waits for an answer for so long, and for a founding's.
-const ANSWER: Duration = Duration::from_secs(5);
-const FOUNDED: Duration = Duration::from_secs(8);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
+const BOOTSTRAP_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// What hears of events worth a line in the log.
-pub type Listener = Box<dyn Fn(AccordEvent)>;
+pub type Listener = Box<dyn Fn(PlanEvent)>;
 
 /// Something worth a line in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AccordEvent {
+pub enum PlanEvent {
     /// This revision is in force here, up to this entry of the log.
     InForce {
         /// Which.
@@ -47,13 +47,13 @@
         index: u64,
     },
     /// It serves by its file, as no plan was heard of in time.
-    ByFile,
+    NoPlan,
     /// Retries storm, or no longer do.
-    Storm(bool),
+    RetryStorm(bool),
 }
 
 /// What a sidecar is given for its part in the plan.
-pub struct AccordParts {
+pub struct PlanParts {
     /// What it is told of the log.
     pub config: Config,
     /// A process that starts waits for the plan for so long before it takes clients.
@@ -66,7 +66,7 @@
 
 /// Why a word was not taken, or is not known to be.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Failure {
+pub enum CommandError {
     /// The log's reason.
     #[error(transparent)]
     Log(#[from] ConsensusError),
@@ -75,33 +75,33 @@
     Plan(#[from] PlanError),
 }
 
-impl Failure {
+impl CommandError {
     /// A code that stays.
     pub fn code(&self) -> &'static str {
         match self {
-            Failure::Log(error) => error.code(),
-            Failure::Plan(error) => error.code(),
+            CommandError::Log(error) => error.code(),
+            CommandError::Plan(error) => error.code(),
         }
     }
 
     /// For an operator: what is wrong, and what can be done.
     pub fn json(&self) -> Value {
         let remedy = match self {
-            Failure::Log(error) => error.remedy(),
-            Failure::Plan(error) => error.remedy(),
+            CommandError::Log(error) => error.remedy(),
+            CommandError::Plan(error) => error.remedy(),
         };
         json!({"code": self.code(), "text": self.to_string(), "do": remedy})
     }
 
     /// Whether the word may have been taken all the same.
-    pub fn unknown(&self) -> bool {
-        matches!(self, Failure::Log(ConsensusError::Unknown(_)))
+    pub fn is_outcome_unknown(&self) -> bool {
+        matches!(self, CommandError::Log(ConsensusError::Unknown(_)))
     }
 }
 
 /// What one sidecar tells the keepers of itself.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct Told {
+struct StatusReport {
     name: String,
     generation: u64,
     /// The founding that `index` is of.
@@ -112,7 +112,7 @@
     tries: (u64, u64),
 }
 
-impl Told {
+impl StatusReport {
     /// Which of two words of one sidecar is the later. Danger: after a founding the same entry has a lower number, or
     /// another content under the same one; what was confirmed before it confirms nothing now.
     fn place(&self) -> (u64, u64, u64) {
@@ -125,28 +125,28 @@
     }
 }
 
-struct Heard {
+struct ReceivedStatus {
     at: Time,
-    told: Told,
+    told: StatusReport,
 }
 
-impl Heard {
+impl ReceivedStatus {
     /// Of this start: what it confirms of this founding, and whether it takes clients.
     fn stands(&self, generation: u64, founding: u64, now: Time) -> Option<(u64, bool)> {
-        let ready = self.told.ready && self.at + HEARD > now;
+        let ready = self.told.ready && self.at + STATUS_TIMEOUT > now;
         (self.told.generation == generation).then(|| (self.told.confirms(founding), ready))
     }
 }
 
 /// Backend servers as a door's own list has them: name, zone, group, and whether it is ready.
-pub type Listed = Vec<(String, String, usize, bool)>;
+pub type ListedEndpoints = Vec<(String, String, usize, bool)>;
 
 /// The plan at this sidecar.
-pub struct Accord<P: Platform> {
+pub struct PlanDriver<P: Platform> {
     platform: P,
     origin: Instant,
     log: RefCell<Log<Plan>>,
-    steward: RefCell<Controller>,
+    controller: RefCell<Controller>,
     throttle: RefCell<RetryThrottle>,
     listener: Listener,
     name: String,
@@ -168,7 +168,7 @@
     next_steward: Cell<Time>,
     /// What the leader said last, and when: it is not said again before it can have been agreed on.
     said: Cell<(u64, Time)>,
-    heard: RefCell<BTreeMap<String, Heard>>,
+    heard: RefCell<BTreeMap<String, ReceivedStatus>>,
     standing: RefCell<Vec<SidecarStatus>>,
     ready: RefCell<Option<Box<dyn Fn() -> bool>>>,
     barred: Cell<u64>,
@@ -176,10 +176,10 @@
     rng: RefCell<fastrand::Rng>,
 }
 
-impl<P: Platform> Accord<P> {
+impl<P: Platform> PlanDriver<P> {
     /// The plan at a sidecar that starts now, as this member.
-    pub fn new(platform: P, parts: AccordParts, me: &Record, seed: u64) -> Rc<Accord<P>> {
-        let AccordParts { config, wait, divides, listener } = parts;
+    pub fn new(platform: P, parts: PlanParts, me: &Record, seed: u64) -> Rc<PlanDriver<P>> {
+        let PlanParts { config, wait, divides, listener } = parts;
         let generation = me.generation;
         // Danger: sidecars of one configuration have one seed; two doors that drew one number for two words would have the
         // second answered with what came of the first.
@@ -187,10 +187,10 @@
             cometcroft_settings::hash(me.name.as_str()) ^ generation.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let seed = seed ^ own;
         let log = Log::new(config, Time::ZERO, generation, seed);
-        Rc::new(Accord {
+        Rc::new(PlanDriver {
             origin: platform.now(),
             log: RefCell::new(log),
-            steward: RefCell::default(),
+            controller: RefCell::default(),
             throttle: RefCell::new(RetryThrottle::new(Rc::new(RevisionContent::empty()), Time::ZERO)),
             listener,
             name: me.name.to_string(),
@@ -224,11 +224,11 @@
     }
 
     /// Tells whether this sidecar takes clients.
-    pub fn ready_by(&self, ready: impl Fn() -> bool + 'static) {
+    pub fn set_readiness(&self, ready: impl Fn() -> bool + 'static) {
         self.ready.replace(Some(Box::new(ready)));
     }
 
-    pub(crate) fn next_at(&self) -> Instant {
+    pub(crate) fn next_wakeup(&self) -> Instant {
         let own = self.next_tell.get().min(self.next_meet.get());
         let log = self.log.borrow();
         let own = if log.leads(self.now()) { own.min(self.next_steward.get()) } else { own };
@@ -238,7 +238,7 @@
     pub(crate) fn tick(&self, members: &Membership) {
         let now = self.now();
         if now >= self.next_meet.get() {
-            self.next_meet.set(now + MEET);
+            self.next_meet.set(now + PEER_REFRESH_INTERVAL);
             self.meet(members, now);
         }
         self.log.borrow_mut().tick(now);
@@ -246,7 +246,7 @@
             self.tell(now);
         }
         if now >= self.next_steward.get() {
-            self.next_steward.set(now + STEWARD);
+            self.next_steward.set(now + CONTROLLER_INTERVAL);
             self.lead(now);
         }
     }
@@ -256,32 +256,32 @@
         loop {
             let aside = self.log.borrow_mut().take_out_of_band();
             let Some((_, bytes)) = aside else { break };
-            if let Ok(told) = postcard::from_bytes::<Told>(&bytes) {
+            if let Ok(told) = postcard::from_bytes::<StatusReport>(&bytes) {
                 self.heard(told);
             }
         }
     }
 
-    fn heard(&self, told: Told) {
+    fn heard(&self, told: StatusReport) {
         let at = self.now();
-        self.steward.borrow_mut().record_attempts(&told.name, told.tries);
+        self.controller.borrow_mut().record_attempts(&told.name, told.tries);
         let mut heard = self.heard.borrow_mut();
         let known = heard.get(&told.name);
         // Danger: a late word of an older start, or an older word of this one, must not stand for the present.
         let older = known.is_some_and(|known| told.place() < known.told.place());
         if !older && (known.is_some() || heard.len() < 100_000) {
-            heard.insert(told.name.clone(), Heard { at, told });
+            heard.insert(told.name.clone(), ReceivedStatus { at, told });
         }
     }
 
-    pub(crate) fn output(&self) -> Option<(SocketAddrV4, Vec<u8>)> {
+    pub(crate) fn next_message(&self) -> Option<(SocketAddrV4, Vec<u8>)> {
         let output = self.log.borrow_mut().output();
         self.sent.set(self.sent.get() + output.as_ref().map_or(0, |(_, bytes)| bytes.len() as u64));
         output
     }
 
     /// Whether something was agreed that is not in force here yet.
-    pub(crate) fn news(&self) -> bool {
+    pub(crate) fn position_changed(&self) -> bool {
         let place = self.log.borrow().position();
         let news = place != self.noticed.replace(place);
         if news {
@@ -346,8 +346,8 @@
     }
 
     fn tell(&self, now: Time) {
-        self.next_tell.set(now + TELL.mul_f64(0.8 + 0.4 * self.rng.borrow_mut().f64()));
-        let told = Told {
+        self.next_tell.set(now + STATUS_INTERVAL.mul_f64(0.8 + 0.4 * self.rng.borrow_mut().f64()));
+        let told = StatusReport {
             name: self.name.clone(),
             generation: self.generation,
             founding: self.in_force.get().bootstrap_id,
@@ -381,11 +381,11 @@
             }
         }
         let mut log = self.log.borrow_mut();
-        let word = self.steward.borrow_mut().next_command(log.machine(), now, &self.standing.borrow());
+        let word = self.controller.borrow_mut().next_command(log.machine(), now, &self.standing.borrow());
         let Some(word) = word else { return };
         let id = Controller::command_id(&word, log.position().index);
         let (last, at) = self.said.get();
-        if last == id.0 && now < at + TELL {
+        if last == id.0 && now < at + STATUS_INTERVAL {
             return;
         }
         self.said.set((id.0, now));
@@ -398,17 +398,17 @@
             command: word,
         };
         // One that can't be said now is thought of again.
-        let _ = log.propose(now, said.encode(), now + TELL);
+        let _ = log.propose(now, said.encode(), now + STATUS_INTERVAL);
     }
 
     /// Says a word and waits for what comes of it.
-    pub async fn say(
+    pub async fn propose(
         &self,
         word: Command,
         reason: &str,
         expects: Option<u32>,
         id: Option<u64>,
-    ) -> Result<CommandOutcome, Failure> {
+    ) -> Result<CommandOutcome, CommandError> {
         let id = CommandId(id.unwrap_or_else(|| self.rng.borrow_mut().u64(1..)));
         let said = CommandEntry {
             id,
@@ -418,10 +418,10 @@
             expected_revision: expects,
             command: word,
         };
-        let until = self.platform.now() + ANSWER;
+        let until = self.platform.now() + COMMAND_TIMEOUT;
         let now = self.now();
         if self.log.borrow().machine().outcome(id).is_none() {
-            self.log.borrow_mut().propose(now, said.encode(), now + ANSWER)?;
+            self.log.borrow_mut().propose(now, said.encode(), now + COMMAND_TIMEOUT)?;
             self.wake.notify_one();
         }
         loop {
@@ -433,32 +433,32 @@
                 };
             }
             if self.platform.timeout_at(until, applied).await.is_err() {
-                return Err(ConsensusError::Unknown(ANSWER).into());
+                return Err(ConsensusError::Unknown(COMMAND_TIMEOUT).into());
             }
         }
     }
 
     /// Begins the log anew, from the newest copy that is reached.
-    pub async fn found(&self) -> Result<u64, Failure> {
+    pub async fn bootstrap(&self) -> Result<u64, CommandError> {
         self.log.borrow_mut().bootstrap(self.now())?;
         self.wake.notify_one();
-        let until = self.platform.now() + FOUNDED;
+        let until = self.platform.now() + BOOTSTRAP_TIMEOUT;
         while self.platform.now() < until {
             self.platform.sleep(Duration::from_millis(20)).await;
             if let Some(founded) = self.log.borrow_mut().bootstrap_result() {
                 return Ok(founded?.index);
             }
         }
-        Err(ConsensusError::Unknown(FOUNDED).into())
+        Err(ConsensusError::Unknown(BOOTSTRAP_TIMEOUT).into())
     }
 
     /// Bytes that it has sent.
-    pub fn sent(&self) -> u64 {
+    pub fn sent_bytes(&self) -> u64 {
         self.sent.get()
     }
 
     /// Whether it knows, as a keeper, who leads.
-    pub fn led(&self) -> bool {
+    pub fn has_leader(&self) -> bool {
         self.log.borrow().leader(self.now()).is_some()
     }
 
@@ -468,7 +468,7 @@
     }
 
     /// This sidecar as what a permit is for: itself, its zone and its tier.
-    pub fn own(&self) -> (PermitTarget, String, u8) {
+    pub fn own_permit_target(&self) -> (PermitTarget, String, u8) {
         let what = PermitTarget::Sidecar { name: self.name.clone(), generation: self.generation };
         (what, self.zone.clone(), self.tier)
     }
@@ -479,7 +479,7 @@
     }
 
     /// Waits until a permit is given, or is no more.
-    pub async fn granted(&self, permit: u32) -> bool {
+    pub async fn wait_for_permit(&self, permit: u32) -> bool {
         loop {
             let applied = self.applied.notified();
             match self.log.borrow().machine().permits().get(&permit) {
@@ -492,11 +492,11 @@
     }
 
     /// Waits until a plan is known, or not any longer.
-    pub async fn first(&self) {
+    pub async fn wait_for_plan(&self) {
         let until = self.platform.now() + self.wait;
         while self.log.borrow().position().index == 0 {
             if self.platform.timeout_at(until, self.applied.notified()).await.is_err() {
-                (self.listener)(AccordEvent::ByFile);
+                (self.listener)(PlanEvent::NoPlan);
                 return;
             }
         }
@@ -510,7 +510,7 @@
     }
 
     /// Puts what the revision allows into settings: never more than they allow themselves.
-    pub(crate) fn settle(&self, settings: &mut Settings) {
+    pub(crate) fn apply_to_settings(&self, settings: &mut Settings) {
         let (_, content) = self.content();
         if let Some(attempts) = content.max_attempts {
             settings.limits.max_attempts = settings.limits.max_attempts.min(attempts);
@@ -518,7 +518,7 @@
     }
 
     /// What becomes of a backend server by the plan.
-    pub fn verdict(&self, name: &str, zone: &str, group: usize) -> WeightAdjustment {
+    pub fn weight_adjustment(&self, name: &str, zone: &str, group: usize) -> WeightAdjustment {
         let log = self.log.borrow();
         let plan = log.machine();
         if plan.excluded_endpoints().contains(name) {
@@ -528,7 +528,7 @@
     }
 
     /// All that is agreed up to now is in force here: settings, list and policies.
-    pub fn put_in_force(&self) {
+    pub fn mark_in_force(&self) {
         let now = self.now();
         let (revision, content) = self.content();
         let (place, storm) = {
@@ -537,11 +537,11 @@
         };
         self.throttle.borrow_mut().update(content, storm, now);
         if self.storm.replace(storm) != storm {
-            (self.listener)(AccordEvent::Storm(storm));
+            (self.listener)(PlanEvent::RetryStorm(storm));
         }
         let before = self.in_force.replace(place);
         if self.revision.replace(revision) != revision {
-            (self.listener)(AccordEvent::InForce { revision, index: place.index });
+            (self.listener)(PlanEvent::InForce { revision, index: place.index });
         }
         if before != place {
             self.next_tell.set(now);
@@ -550,7 +550,7 @@
     }
 
     /// Whether an attempt may go out by the policies on retries.
-    pub(crate) fn attempts(
+    pub(crate) fn allow_attempt(
         &self,
         request: &Request,
         first: bool,
@@ -560,11 +560,11 @@
         let class = std::str::from_utf8(request.class()).unwrap_or_default();
         let caller = request.headers.single("x-caller").ok().flatten();
         let tenant = caller.and_then(|caller| std::str::from_utf8(caller).ok());
-        self.tries(class, tenant, first, after, part)
+        self.allow_attempt_of(class, tenant, first, after, part)
     }
 
     /// The same, of a request by its class and tenant.
-    pub fn tries(
+    pub fn allow_attempt_of(
         &self,
         class: &str,
         tenant: Option<&str>,
@@ -585,7 +585,7 @@
     }
 
     /// Refuses a text that leaves too few of the backend servers that this door knows.
-    pub fn leaves_enough(&self, text: &str, listed: &Listed) -> Result<(), Failure> {
+    pub fn check_endpoints_left(&self, text: &str, listed: &ListedEndpoints) -> Result<(), CommandError> {
         let content = RevisionContent::parse(text, "revision")
             .map_err(|error| PlanError::InvalidContent(error.to_string()))?;
         if !content.retry_rules.is_empty() && !self.divides {
@@ -601,22 +601,24 @@
     }
 
     /// Refuses to bar one more backend server where too few would be left.
-    pub fn spares(&self, name: &str, listed: &Listed) -> Result<(), Failure> {
+    pub fn check_drain(&self, name: &str, listed: &ListedEndpoints) -> Result<(), CommandError> {
         let (_, content) = self.content();
         let of = listed.len() as u32;
         let stays = |(other, zone, group, ready): &&(String, String, usize, bool)| {
-            *ready && other != name && self.verdict(other, zone, *group) != WeightAdjustment::Excluded
+            *ready
+                && other != name
+                && self.weight_adjustment(other, zone, *group) != WeightAdjustment::Excluded
         };
         enough(listed.iter().filter(stays).count() as u32, of, content.min_endpoint_share, "drain")
     }
 
     /// Looks at the log.
-    pub fn ask<T>(&self, what: impl FnOnce(&Log<Plan>) -> T) -> T {
+    pub fn with_log<T>(&self, what: impl FnOnce(&Log<Plan>) -> T) -> T {
         what(&self.log.borrow())
     }
 
     /// A revision's text.
-    pub fn text(&self, revision: u32) -> Result<String, Failure> {
+    pub fn revision_text(&self, revision: u32) -> Result<String, CommandError> {
         let log = self.log.borrow();
         let plan = log.machine();
         let known = plan.revisions();
@@ -629,12 +631,12 @@
     }
 
     /// The entry up to which the plan is in force here, and the revision.
-    pub fn stands(&self) -> (u64, u32) {
+    pub fn in_force(&self) -> (u64, u32) {
         (self.in_force.get().index, self.revision.get())
     }
 
     /// Where the plan stands, for operators.
-    pub fn json(&self) -> Value {
+    pub fn status_json(&self) -> Value {
         let (log, now) = (self.log.borrow(), self.now());
         let (plan, unix) = (log.machine(), self.platform.unix().as_millis() as u64);
         let status: Status = log.status(now);
@@ -673,7 +675,7 @@
             .map(|(&number, it)| {
                 let up: Vec<&str> = match it.state {
                     PermitState::Granted { .. } if keeper && it.target.is_endpoint() => {
-                        let held = self.steward.borrow().unconfirmed_sidecars(plan, number, &standing);
+                        let held = self.controller.borrow().unconfirmed_sidecars(plan, number, &standing);
                         held.iter()
                             .filter(|held| {
                                 heard
@@ -706,7 +708,7 @@
     }
 }
 
-fn enough(left: u32, of: u32, keep: f64, field: &str) -> Result<(), Failure> {
+fn enough(left: u32, of: u32, keep: f64, field: &str) -> Result<(), CommandError> {
     if f64::from(left) < keep * f64::from(of) || left == 0 && of > 0 {
         let (field, keep) = (field.to_owned(), keep.to_string());
         return Err(PlanError::TooFewLeft { field, left, total: of, min_share: keep }.into());
--- a/crates/sidecar/src/accord/tests.rs
+++ b/crates/sidecar/src/plan_driver/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn told(generation: u64, founding: u64, index: u64) -> Told {
+fn told(generation: u64, founding: u64, index: u64) -> StatusReport {
     let name = "m".to_owned();
-    Told { name, generation, founding, index, revision: 0, ready: true, tries: (0, 0) }
+    StatusReport { name, generation, founding, index, revision: 0, ready: true, tries: (0, 0) }
 }
 
 #[test]
@@ -18,7 +18,7 @@
 
 #[test]
 fn what_goes_to_the_voters_has_these_bytes() {
-    let told = Told {
+    let told = StatusReport {
         name: "m".to_owned(),
         generation: 300,
         founding: 2,
@@ -30,6 +30,6 @@
     // Name, generation, founding, index, revision, ready, tries: sidecars of two versions read one another.
     let bytes = [1, b'm', 0xac, 0x02, 2, 5, 7, 1, 1, 0xc8, 0x01];
     assert_eq!(postcard::to_stdvec(&told).expect("it has a form"), bytes);
-    let read: Told = postcard::from_bytes(&bytes).expect("it is read");
+    let read: StatusReport = postcard::from_bytes(&bytes).expect("it is read");
     assert_eq!(format!("{read:?}"), format!("{told:?}"));
 }
