--- a/crates/emulator/src/agree.rs
+++ b/crates/emulator/src/agree.rs
@@ -17,7 +17,7 @@
 ) -> PlanParts {
     let mut config = Config::new("played", own, keepers);
     config.features = log;
-    PlanParts { config, wait: Duration::from_millis(300), divides: false, listener: Box::new(|_| ()) }
+    PlanParts { config, wait: Duration::from_millis(300), retries_limited: false, listener: Box::new(|_| ()) }
 }
 
 /// Says a word at a member's door; the entry at which it was taken, or why not.
--- a/crates/hollow/src/member.rs
+++ b/crates/hollow/src/member.rs
@@ -238,5 +238,5 @@
             in_force.set(Some((revision, monotonic())));
         }
     });
-    PlanParts { config: plan_config(address, fleet), wait: PLAN_WAIT, divides: true, listener }
+    PlanParts { config: plan_config(address, fleet), wait: PLAN_WAIT, retries_limited: true, listener }
 }
--- a/crates/sidecar/src/active_settings.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -1,5 +1,5 @@
-//! What is in force: the one owner that composes the file, the count of those at work, the fleet's parts and its plan
-//! into one consistent whole, and hands it out in one step.
+//! The settings in force: combines the configuration file with what the fleet decides (number of sidecars, shares of the
+//! quotas, plan) and applies the result everywhere in one step, so that all parts see one consistent state.
 
 use crate::backend::Pool;
 use crate::config::Config;
@@ -13,7 +13,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// What is put in force where.
+/// The parts of a sidecar that settings are applied to.
 pub(crate) struct ActiveSettings<C: HttpBackend> {
     pub frontend: Rc<Frontend<C>>,
     pub host: Rc<Host<C>>,
@@ -22,12 +22,12 @@
     pub life: Rc<Life<C::Platform>>,
     pub fields: Rc<RefCell<Rc<[Field]>>>,
     pub fleet: Option<Rc<Fleet<C::Platform>>>,
-    /// What the file says, but for what is the fleet's to tell; kept where there is a fleet.
+    /// Settings of the file before the fleet's state is applied to them; `None` without a fleet.
     pub file_settings: RefCell<Option<(Settings, Sockets)>>,
 }
 
 impl<C: HttpBackend> ActiveSettings<C> {
-    /// A new file. One step: nothing is awaited between the first and the last of these.
+    /// Applies a new configuration file, in one step: nothing is awaited in between.
     pub fn apply_file(&self, config: Config) {
         self.life.tell(|machine, _| machine.longest(config.longest_deadline()));
         let Config { settings, net, fields, .. } = config;
@@ -43,13 +43,14 @@
         }
     }
 
-    /// The fleet tells something else: how many are at work, this one's parts, the plan.
+    /// Applies a change of the fleet's state: number of sidecars, shares or plan.
     pub fn apply_fleet(&self) {
         let (file_settings, Some(fleet)) = (self.file_settings.borrow(), &self.fleet) else { return };
         let Some((settings, net)) = &*file_settings else { return };
         let mut settings = settings.clone();
         fleet.apply_to_settings(&mut settings, &net.tenants);
-        // Danger: a bar that the module hears of before the list is stricter would be tried all the same.
+        // The endpoint list is updated before the settings: otherwise the decision module could still choose an endpoint that the
+        // new revision excludes.
         let entries = self.directory.judge();
         if !entries.is_empty() {
             self.host.tell(Event::EndpointList { scope: ListScope::Changes, entries });
--- a/crates/sidecar/src/budget_driver.rs
+++ b/crates/sidecar/src/budget_driver.rs
@@ -1,5 +1,5 @@
-//! What this sidecar may spend of the fleet's budgets: the driver of [`Budget`] on a [`Platform`], and the guards at the
-//! places where it is spent. The protocol's datagrams come and go by the fleet's socket.
+//! Budget driver: runs the [`Budget`] protocol on a [`Platform`] and enforces its limits where requests, attempts,
+//! connections, probes and calls to discovery start. Datagrams travel over the fleet's socket.
 
 use cometcroft::Settings;
 use cometcroft_budget::{Budget, Config, Event, LimitKind, Report, Time};
@@ -10,16 +10,16 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// What a whole of the file is spent on.
+/// What a limit of the operator file applies to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BudgetUse {
-    /// Requests of a tenant, by the name that its callers give.
+    /// Requests of a tenant, by the name that its clients send.
     Tenant(String),
     /// Requests open at once.
     Open,
-    /// Attempts beyond a request's first.
+    /// Retries.
     Retries,
-    /// New connections to backend servers.
+    /// New connections to endpoints.
     Connections,
     /// Probes.
     Probes,
@@ -27,36 +27,37 @@
     Discovery,
 }
 
-/// What hears of events worth a line in the log.
+/// Callback for events that are logged.
 pub type Listener = Box<dyn Fn(Event)>;
 
-/// What a sidecar is given for its budgets.
+/// What a [`BudgetDriver`] is built from.
 pub struct BudgetParts {
-    /// What it is told.
+    /// Configuration of the budget protocol.
     pub config: Config,
-    /// What each whole is spent on, in their order.
+    /// What each limit applies to, in the order of `config.limits`.
     pub uses: Vec<BudgetUse>,
-    /// A number that no other start of any sidecar has.
+    /// Identifies this process as a holder; must differ between all starts of all sidecars.
     pub id: u64,
-    /// Hears of events.
+    /// Receives events to log.
     pub listener: Listener,
 }
 
-/// The budgets of a sidecar, and where they are spent.
+/// Takes part in the fleet's budgets on behalf of one sidecar.
 pub struct BudgetDriver<P: Platform> {
     platform: P,
     origin: Instant,
     budget: RefCell<Budget>,
     uses: Vec<BudgetUse>,
     listener: Listener,
-    /// The shares of the tenants as the module has been told.
-    told: RefCell<Vec<u64>>,
-    /// Somebody lacks something: the protocol may have to ask.
+    /// Tenants' shares that the decision module was last configured with, by limit.
+    applied_shares: RefCell<Vec<u64>>,
+    /// Signals that a limit was exhausted, so that the protocol may request a larger share.
     pub(crate) shortage: Notify,
-    urgent: Cell<Time>,
+    /// Earliest time of the next `shortage` signal.
+    next_shortage_at: Cell<Time>,
 }
 
-/// A use of a level, given back when it is dropped.
+/// One unit of a concurrency limit; released on drop.
 pub struct ConcurrencyGuard<P: Platform>(Rc<BudgetDriver<P>>, usize);
 
 impl<P: Platform> Drop for ConcurrencyGuard<P> {
@@ -66,18 +67,18 @@
 }
 
 impl<P: Platform> BudgetDriver<P> {
-    /// The budgets of a sidecar that starts now.
+    /// Creates the driver of a sidecar that starts now.
     pub fn new(platform: P, parts: BudgetParts) -> Rc<BudgetDriver<P>> {
         let BudgetParts { config, uses, id, listener } = parts;
         let origin = platform.now();
         Rc::new(BudgetDriver {
             origin,
-            told: RefCell::new(vec![0; uses.len()]),
+            applied_shares: RefCell::new(vec![0; uses.len()]),
             budget: RefCell::new(Budget::new(config, Time::ZERO, id)),
             uses,
             listener,
             shortage: Notify::new(),
-            urgent: Cell::new(Time::ZERO),
+            next_shortage_at: Cell::new(Time::ZERO),
             platform,
         })
     }
@@ -86,61 +87,62 @@
         self.platform.since(self.origin)
     }
 
-    fn which(&self, wanted: &BudgetUse) -> Option<usize> {
-        self.uses.iter().position(|each| each == wanted)
+    fn limit_of(&self, kind: &BudgetUse) -> Option<usize> {
+        self.uses.iter().position(|budget_use| budget_use == kind)
     }
 
-    /// One use. Danger: the time is read here, after whatever the use waited for; a part may have lapsed meanwhile.
-    fn take(&self, whole: usize) -> Result<(), Duration> {
+    /// Acquires one unit of a limit, or returns how long to wait. The clock is read here, after whatever the caller awaited,
+    /// as the lease on the share may have expired meanwhile.
+    fn try_acquire(&self, limit: usize) -> Result<(), Duration> {
         let now = self.now();
-        let taken = self.budget.borrow_mut().try_acquire(whole, now);
-        if taken.is_err() && now >= self.urgent.get() {
-            // A need that can't be met is told soon, but not at each refusal.
-            self.urgent.set(now + self.budget.borrow().config().request_interval() / 16);
+        let acquired = self.budget.borrow_mut().try_acquire(limit, now);
+        if acquired.is_err() && now >= self.next_shortage_at.get() {
+            // An unmet demand is signalled early, but not at each rejection.
+            self.next_shortage_at.set(now + self.budget.borrow().config().request_interval() / 16);
             self.shortage.notify_one();
         }
-        taken
+        acquired
     }
 
-    /// Whether a request of this caller is taken; else after how long it may come again.
-    pub fn admit(self: &Rc<Self>, caller: Option<&[u8]>) -> Result<Option<ConcurrencyGuard<P>>, Duration> {
-        let open = match self.which(&BudgetUse::Open) {
-            Some(whole) => {
-                self.take(whole)?;
-                Some(ConcurrencyGuard(self.clone(), whole))
+    /// Admits a request of this tenant, or returns after how long it may be sent again. The guard, if any, must live as long
+    /// as the request.
+    pub fn admit(self: &Rc<Self>, tenant: Option<&[u8]>) -> Result<Option<ConcurrencyGuard<P>>, Duration> {
+        let open = match self.limit_of(&BudgetUse::Open) {
+            Some(limit) => {
+                self.try_acquire(limit)?;
+                Some(ConcurrencyGuard(self.clone(), limit))
             }
             None => None,
         };
-        let tenant =
-            |each: &BudgetUse| matches!(each, BudgetUse::Tenant(name) if Some(name.as_bytes()) == caller);
-        if let Some(whole) = self.uses.iter().position(tenant) {
-            self.take(whole)?;
+        let applies = |budget_use: &BudgetUse| matches!(budget_use, BudgetUse::Tenant(name) if Some(name.as_bytes()) == tenant);
+        if let Some(limit) = self.uses.iter().position(applies) {
+            self.try_acquire(limit)?;
         }
         Ok(open)
     }
 
-    /// Whether an attempt beyond a request's first may go out.
+    /// Acquires one retry; returns `false` if the limit is exhausted.
     pub fn allow_retry(&self) -> bool {
-        self.which(&BudgetUse::Retries).is_none_or(|whole| self.take(whole).is_ok())
+        self.limit_of(&BudgetUse::Retries).is_none_or(|limit| self.try_acquire(limit).is_ok())
     }
 
-    /// Its part of the whole of retries now, as a share of it, if that is divided.
+    /// This sidecar's share of the retry limit as a fraction of the limit; `None` if retries are not limited.
     pub(crate) fn retry_share(&self) -> Option<f64> {
-        let whole = self.which(&BudgetUse::Retries)?;
+        let limit = self.limit_of(&BudgetUse::Retries)?;
         let (now, budget) = (self.now(), self.budget.borrow());
-        Some(budget.share(whole, now) as f64 / (budget.config().limits[whole].size as f64).max(1.0))
+        Some(budget.share(limit, now) as f64 / (budget.config().limits[limit].size as f64).max(1.0))
     }
 
-    /// Whether a probe may go out.
+    /// Acquires one probe; returns `false` if the limit is exhausted.
     pub fn allow_probe(&self) -> bool {
-        self.which(&BudgetUse::Probes).is_none_or(|whole| self.take(whole).is_ok())
+        self.limit_of(&BudgetUse::Probes).is_none_or(|limit| self.try_acquire(limit).is_ok())
     }
 
-    /// Waits until a new connection may be made, until then at the latest; whether it may.
+    /// Waits until a new connection may be opened; returns `false` if that is not before `until`.
     pub async fn wait_to_connect(&self, until: Instant) -> bool {
-        let Some(whole) = self.which(&BudgetUse::Connections) else { return true };
+        let Some(limit) = self.limit_of(&BudgetUse::Connections) else { return true };
         loop {
-            let Err(wait) = self.take(whole) else { return true };
+            let Err(wait) = self.try_acquire(limit) else { return true };
             let next = self.platform.now() + wait.max(Duration::from_millis(1));
             if next > until {
                 return false;
@@ -149,42 +151,46 @@
         }
     }
 
-    /// Waits until discovery may be called. Danger: who has no part hears of no drain, so the file should give a floor.
+    /// Waits until discovery may be called. A sidecar without a share learns of no drain, so the operator file should
+    /// guarantee a share of this limit (`floor`).
     pub async fn wait_to_call_discovery(&self) {
-        let Some(whole) = self.which(&BudgetUse::Discovery) else { return };
-        while let Err(wait) = self.take(whole) {
+        let Some(limit) = self.limit_of(&BudgetUse::Discovery) else { return };
+        while let Err(wait) = self.try_acquire(limit) {
             self.platform.sleep(wait.max(Duration::from_millis(1))).await;
         }
     }
 
-    /// One use of a whole by its place in the file, as the emulator's load does.
-    pub fn try_use(self: &Rc<Self>, whole: usize) -> Option<Option<ConcurrencyGuard<P>>> {
-        self.take(whole).ok()?;
-        let level = matches!(self.budget.borrow().config().limits[whole].kind, LimitKind::Concurrency { .. });
-        Some(level.then(|| ConcurrencyGuard(self.clone(), whole)))
+    /// Acquires one unit of a limit given by its position in the file, as the emulator's load does. Returns `None` if the limit
+    /// is exhausted, and a guard for a concurrency limit.
+    pub fn try_use(self: &Rc<Self>, limit: usize) -> Option<Option<ConcurrencyGuard<P>>> {
+        self.try_acquire(limit).ok()?;
+        let is_concurrency =
+            matches!(self.budget.borrow().config().limits[limit].kind, LimitKind::Concurrency { .. });
+        Some(is_concurrency.then(|| ConcurrencyGuard(self.clone(), limit)))
     }
 
-    /// The module goes by this sidecar's own parts of the tenants' quotas: it divides by the number of sidecars, so it is
-    /// given that many times the part.
+    /// Sets the tenants' quotas so that the decision module enforces this sidecar's own shares. The module divides a quota by
+    /// the number of sidecars, so the share is multiplied by that number.
     pub fn apply_to_settings(&self, settings: &mut Settings, tenants: &[String]) {
         let (now, budget) = (self.now(), self.budget.borrow());
-        for (whole, each) in self.uses.iter().enumerate() {
-            let BudgetUse::Tenant(name) = each else { continue };
-            let part = budget.share(whole, now);
-            self.told.borrow_mut()[whole] = part;
-            let tenant = tenants.iter().position(|tenant| tenant == name);
-            if let Some(tenant) = tenant.and_then(|tenant| settings.tenants.get_mut(tenant)) {
-                tenant.quota_per_s = part as f64 / 1000.0 * f64::from(settings.instances);
+        for (limit, budget_use) in self.uses.iter().enumerate() {
+            let BudgetUse::Tenant(name) = budget_use else { continue };
+            let share = budget.share(limit, now);
+            self.applied_shares.borrow_mut()[limit] = share;
+            let index = tenants.iter().position(|tenant| tenant == name);
+            if let Some(tenant) = index.and_then(|index| settings.tenants.get_mut(index)) {
+                tenant.quota_per_s = share as f64 / 1000.0 * f64::from(settings.instances);
             }
         }
     }
 
-    /// Whether a part differs so much from what the module was told that it has to be told again.
+    /// Returns whether a tenant's share differs by more than 5% from what the decision module was configured with.
     pub(crate) fn shares_changed(&self) -> bool {
-        let (now, budget, told) = (self.now(), self.budget.borrow(), self.told.borrow());
-        let differs = |(whole, each): (usize, &BudgetUse)| {
-            let part = budget.share(whole, now);
-            matches!(each, BudgetUse::Tenant(_)) && part.abs_diff(told[whole]) * 20 > part.max(told[whole])
+        let (now, budget, applied_shares) = (self.now(), self.budget.borrow(), self.applied_shares.borrow());
+        let differs = |(limit, budget_use): (usize, &BudgetUse)| {
+            let share = budget.share(limit, now);
+            matches!(budget_use, BudgetUse::Tenant(_))
+                && share.abs_diff(applied_shares[limit]) * 20 > share.max(applied_shares[limit])
         };
         self.uses.iter().enumerate().any(differs)
     }
@@ -198,7 +204,7 @@
     }
 
     pub(crate) fn receive(&self, from: SocketAddrV4, bytes: &[u8]) {
-        // Danger: the time is read after the message has come: a part is lent from then on, not from before.
+        // The clock is read after the datagram has arrived: a lease begins then, not earlier.
         self.budget.borrow_mut().receive(self.now(), from, bytes);
     }
 
@@ -206,7 +212,7 @@
         self.budget.borrow_mut().leave(self.now());
     }
 
-    /// What is to be sent next; events are told on the way.
+    /// The next datagram to send. Reports pending events to the listener first.
     pub(crate) fn next_datagram(&self) -> Option<(SocketAddrV4, Vec<u8>)> {
         loop {
             let event = self.budget.borrow_mut().next_event();
@@ -216,12 +222,12 @@
         self.budget.borrow_mut().next_datagram()
     }
 
-    /// Looks at the budgets.
-    pub fn with_budget<T>(&self, what: impl FnOnce(&Budget, Time) -> T) -> T {
-        what(&self.budget.borrow(), self.now())
+    /// Calls a function with the protocol's state and its current time.
+    pub fn with_budget<T>(&self, read: impl FnOnce(&Budget, Time) -> T) -> T {
+        read(&self.budget.borrow(), self.now())
     }
 
-    /// Itself, for operators.
+    /// The state of the budgets for operators.
     pub fn report(&self) -> Report {
         self.budget.borrow_mut().report(self.now())
     }
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -212,11 +212,11 @@
             Event::LeaseObtained => tracing::info!("has parts of the budgets"),
         }),
     });
-    let divides = budget.as_ref().is_some_and(|budget| budget.uses.contains(&BudgetUse::Retries));
+    let retries_limited = budget.as_ref().is_some_and(|budget| budget.uses.contains(&BudgetUse::Retries));
     let plan = plan.map(|plan| plan.driver_config(&section)).map(|(config, wait)| PlanParts {
         config,
         wait,
-        divides,
+        retries_limited,
         listener: Box::new(|event| match event {
             PlanEvent::InForce { revision, index } => tracing::info!(revision, index, "revision in force"),
             PlanEvent::NoPlan => tracing::warn!("no plan was heard of in time: serves by its file"),
--- a/crates/sidecar/src/operator_file.rs
+++ b/crates/sidecar/src/operator_file.rs
@@ -1,4 +1,5 @@
-//! The operator's file: what is off unless it is switched on here. `deploy/operator.toml` is an example with comments.
+//! The operator file (TOML): fleet membership, budgets and plan, all of which are off unless configured here.
+//! `deploy/operator.toml` is a commented example.
 
 use crate::budget_driver::BudgetUse;
 use crate::config::Config;
@@ -13,78 +14,79 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The longest pause to bear if none is named.
-const PAUSE: Time = Time(2.0, 2.0);
-/// Members known at once if no number is named.
-const MOST: usize = 4096;
+/// Default of `longest_pause`, in seconds.
+const DEFAULT_MAX_PAUSE: Time = Time(2.0, 2.0);
+/// Default of `most`.
+const DEFAULT_MAX_MEMBERS: usize = 4096;
 
-/// The file.
+/// The contents of the file.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(rename = "Operator", deny_unknown_fields)]
 pub struct OperatorFile {
-    /// Membership among the sidecars.
+    /// Membership of the sidecars in a fleet.
     pub fleet: Option<FleetSection>,
-    /// Budgets of the whole fleet.
+    /// Budgets shared by the fleet.
     pub budget: Option<BudgetSection>,
     /// The fleet's plan.
     pub plan: Option<PlanSection>,
 }
 
-/// `[plan]`.
+/// The section `[plan]`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanSection {
-    /// Who agrees: addresses as advertised, three, five or seven, the same in all files.
-    pub keepers: Vec<SocketAddrV4>,
-    /// A process that starts waits for the plan for so long before it takes clients.
-    #[serde(default = "wait")]
+    /// Advertised addresses of the voters: three, five or seven, the same in all files.
+    #[serde(rename = "keepers")]
+    pub voters: Vec<SocketAddrV4>,
+    /// Maximum time that a starting process waits for the plan before it accepts clients.
+    #[serde(default = "default_wait")]
     pub wait: Time,
-    /// How often each asks another where it stands.
-    #[serde(default = "gossip")]
-    pub gossip: Time,
+    /// Interval at which each sidecar asks another one for its position in the log.
+    #[serde(rename = "gossip", default = "default_gossip_interval")]
+    pub gossip_interval: Time,
 }
 
-fn wait() -> Time {
+fn default_wait() -> Time {
     Time(0.3, 0.3)
 }
 
-fn gossip() -> Time {
+fn default_gossip_interval() -> Time {
     Time(0.5, 0.5)
 }
 
 impl PlanSection {
     fn config(&self, fleet: &FleetSection) -> consensus::Config {
         let address = fleet.advertise.unwrap_or(fleet.bind);
-        let mut config = consensus::Config::new(&fleet.name, address, self.keepers.clone());
-        config.gossip_interval = self.gossip.exact();
+        let mut config = consensus::Config::new(&fleet.name, address, self.voters.clone());
+        config.gossip_interval = self.gossip_interval.exact();
         config
     }
 
     fn check(&self, fleet: Option<&FleetSection>) -> Result<(), (&'static str, String)> {
         let Some(fleet) = fleet else {
-            return Err(("keepers", "a plan needs a [fleet] beside it".to_owned()));
+            return Err(("keepers", "a plan requires a [fleet] section".to_owned()));
         };
         if self.wait.exact() > Duration::from_secs(10) {
             return Err(("wait", "must be at most 10s".to_owned()));
         }
-        let gossip = self.gossip.exact();
+        let gossip = self.gossip_interval.exact();
         if gossip < Duration::from_millis(50) || gossip > Duration::from_secs(10) {
             return Err(("gossip", "must be between 50ms and 10s".to_owned()));
         }
         self.config(fleet).check()
     }
 
-    /// What a sidecar is told of the plan.
+    /// Configuration of the log, and the maximum time to wait for the plan at a start.
     pub fn driver_config(&self, fleet: &FleetSection) -> (consensus::Config, Duration) {
         (self.config(fleet), self.wait.exact())
     }
 
-    /// What the section comes to, in a line.
+    /// One line that summarizes the section, for `cometcroft check`.
     pub fn summary(&self, fleet: &FleetSection) -> String {
         let config = self.config(fleet);
-        let own = if config.voter_index().is_some() { "one of them" } else { "not one of them" };
+        let role = if config.voter_index().is_some() { "one of them" } else { "not one of them" };
         format!(
-            "plan of {:016x}: {} keepers, this sidecar {own}; waits {:?} for it at a start",
+            "plan of {:016x}: {} keepers, this sidecar {role}; waits {:?} for it at a start",
             config.digest,
             config.voters.len(),
             self.wait.exact(),
@@ -92,49 +94,52 @@
     }
 }
 
-/// `[budget]`.
+/// The section `[budget]`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BudgetSection {
-    /// Who elects the divider: addresses as advertised, one, three, five or seven, the same in all files.
-    pub keepers: Vec<SocketAddrV4>,
-    /// Who has the floors.
+    /// Advertised addresses of the voters that elect the allocator: one, three, five or seven, the same in all files.
+    #[serde(rename = "keepers")]
+    pub voters: Vec<SocketAddrV4>,
+    /// Advertised addresses of the sidecars that have guaranteed shares.
     #[serde(default)]
     pub roster: Vec<SocketAddrV4>,
-    /// For how long a part is lent.
-    #[serde(default = "lease")]
+    /// Duration of a lease.
+    #[serde(default = "default_lease")]
     pub lease: Time,
-    /// How much this sidecar counts in the division.
-    #[serde(default = "one")]
+    /// Weight of this sidecar when limits are divided.
+    #[serde(default = "default_weight")]
     pub weight: u32,
-    /// What is divided.
+    /// The limits that are divided among the sidecars.
     #[serde(rename = "whole", default)]
-    pub wholes: Vec<LimitSection>,
+    pub limits: Vec<LimitSection>,
 }
 
-/// `[[budget.whole]]`.
+/// A section `[[budget.whole]]`: one limit.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename = "WholeSection", deny_unknown_fields)]
 pub struct LimitSection {
-    /// What it is spent on.
+    /// What the limit applies to.
     #[serde(rename = "use")]
-    pub what: UseKey,
-    /// Whose requests.
+    pub applies_to: UseKey,
+    /// The tenant whose requests are limited.
     pub tenant: Option<String>,
-    /// So many a second.
+    /// Rate limit, per second.
     pub rate: Option<f64>,
-    /// And so many beyond that in any window; the rate of a second if not said.
+    /// Number allowed beyond the rate in any window; one second's worth by default.
     pub burst: Option<f64>,
-    /// So many at once.
-    pub level: Option<u32>,
-    /// None of which takes longer; the longest deadline of the settings if not said.
-    pub longest: Option<Time>,
-    /// What each place of the roster has without any lease.
-    #[serde(default)]
-    pub floor: f64,
+    /// Concurrency limit.
+    #[serde(rename = "level")]
+    pub max_concurrent: Option<u32>,
+    /// Maximum duration of one use of a concurrency limit; the longest deadline of the settings by default.
+    #[serde(rename = "longest")]
+    pub max_hold: Option<Time>,
+    /// Share that each sidecar of the roster has without a lease.
+    #[serde(rename = "floor", default)]
+    pub guaranteed_share: f64,
 }
 
-/// What a whole may be spent on.
+/// What a limit may apply to: the values of `use`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename = "UseWord", rename_all = "kebab-case")]
 pub enum UseKey {
@@ -142,9 +147,9 @@
     Tenant,
     /// Requests open at once.
     Open,
-    /// Attempts beyond a request's first.
+    /// Retries.
     Retries,
-    /// New connections to backend servers.
+    /// New connections to endpoints.
     Connections,
     /// Probes.
     Probes,
@@ -152,69 +157,71 @@
     Discovery,
 }
 
-/// `[fleet]`.
+/// The section `[fleet]`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSection {
-    /// The fleet's name; messages of another are refused.
+    /// The fleet's name; messages of other fleets are discarded.
     pub name: String,
-    /// Where it listens, for datagrams and for connections.
+    /// Listen address for datagrams and connections.
     pub bind: SocketAddrV4,
-    /// Where the others reach it; `bind` if not said.
+    /// Address at which the other members reach this one; `bind` by default.
     pub advertise: Option<SocketAddrV4>,
-    /// Whom it asks first; some may be down.
+    /// Members to contact first; some of them may be down.
     #[serde(default)]
     pub seeds: Vec<SocketAddrV4>,
-    /// The longest pause of a sidecar that must not look like its end.
-    #[serde(default = "pause")]
-    pub longest_pause: Time,
-    /// Members known at once, those that are gone among them.
-    #[serde(default = "most")]
-    pub most: usize,
-    /// Times in place of those that follow from the longest pause.
+    /// Longest pause of a process that must not make it appear dead.
+    #[serde(rename = "longest_pause", default = "default_max_pause")]
+    pub max_pause: Time,
+    /// Maximum number of known members, including dead ones.
+    #[serde(rename = "most", default = "default_max_members")]
+    pub max_members: usize,
+    /// Overrides of the times that are derived from the longest pause.
     #[serde(default)]
     pub timing: TimingSection,
 }
 
-/// `[fleet.timing]`.
+/// The section `[fleet.timing]`.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimingSection {
-    /// One member is probed in each of these.
+    /// Interval between two probes; each goes to one member.
     pub period: Option<Time>,
-    /// Suspicion lasts so long once enough accuse.
+    /// Duration of a suspicion that enough members have confirmed.
     pub suspicion: Option<Time>,
-    /// A fall of the count binds after this.
-    pub settle: Option<Time>,
-    /// Those that are gone are forgotten after this.
-    pub forget: Option<Time>,
+    /// Time after which a decrease of the number of sidecars takes effect.
+    #[serde(rename = "settle")]
+    pub headcount_settle: Option<Time>,
+    /// Time after which dead members are removed from the view.
+    #[serde(rename = "forget")]
+    pub retention: Option<Time>,
 }
 
-fn lease() -> Time {
+fn default_lease() -> Time {
     Time(4.0, 4.0)
 }
 
-fn one() -> u32 {
+fn default_weight() -> u32 {
     1
 }
 
-fn pause() -> Time {
-    PAUSE
+fn default_max_pause() -> Time {
+    DEFAULT_MAX_PAUSE
 }
 
-fn most() -> usize {
-    MOST
+fn default_max_members() -> usize {
+    DEFAULT_MAX_MEMBERS
 }
 
 impl OperatorFile {
-    /// Reads the file.
+    /// Reads and checks the file.
     pub fn load(path: &Path) -> Result<OperatorFile, FileError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| FileError::of(&file, e))?;
         OperatorFile::parse(&text, &file)
     }
 
-    /// Reads the file's text; `file` is only named in errors.
+    /// Parses and checks the file's text; `file` is the name used in errors.
     pub fn parse(text: &str, file: &str) -> Result<OperatorFile, FileError> {
         let operator: OperatorFile = cometcroft_tomlfile::read(text, file)?;
         if let Some(fleet) = &operator.fleet {
@@ -224,9 +231,9 @@
             })?;
         }
         if let Some(budget) = &operator.budget {
-            budget.check(operator.fleet.as_ref()).map_err(|(whole, field, reason)| {
+            budget.check(operator.fleet.as_ref()).map_err(|(limit, field, reason)| {
                 let table = |i| text.match_indices("[[budget.whole]]").nth(i).map(|(at, _)| at);
-                let from = whole.and_then(table).or_else(|| text.find("[budget]")).unwrap_or(0);
+                let from = limit.and_then(table).or_else(|| text.find("[budget]")).unwrap_or(0);
                 let at = text[from..].find(&format!("\n{field}")).map_or(from, |at| from + at + 1);
                 FileError::at(file, text, at, field, &reason)
             })?;
@@ -243,67 +250,75 @@
 }
 
 impl FleetSection {
-    /// All times.
+    /// The membership's times: derived from the longest pause, or as configured.
     pub fn timing(&self) -> Timing {
-        let mut timing = Timing::from_pause(self.longest_pause.exact());
-        let said = &self.timing;
-        if let Some(period) = said.period {
+        let mut timing = Timing::from_pause(self.max_pause.exact());
+        let given = &self.timing;
+        if let Some(period) = given.period {
             timing.period = period.exact();
             timing.direct_timeout = timing.period / 2;
             timing.resend_after = timing.period / 4;
             timing.gossip_interval = timing.period / 4;
         }
-        if let Some(suspicion) = said.suspicion {
+        if let Some(suspicion) = given.suspicion {
             timing.min_suspicion = suspicion.exact();
             timing.max_suspicion = timing.min_suspicion * 2;
         }
-        timing.headcount_settle = said.settle.map_or(timing.headcount_settle, Time::exact);
-        timing.retention = said.forget.map_or(timing.retention, Time::exact);
+        timing.headcount_settle = given.headcount_settle.map_or(timing.headcount_settle, Time::exact);
+        timing.retention = given.retention.map_or(timing.retention, Time::exact);
         timing
     }
 
     fn check(&self) -> Result<(), (&'static str, String)> {
-        let bad = |field, reason: &str| Err((field, reason.to_owned()));
+        let error = |field, reason: &str| Err((field, reason.to_owned()));
         if self.name.is_empty() {
-            return bad("name", "must not be empty");
+            return error("name", "must not be empty");
         }
         let advertised = self.advertise.unwrap_or(self.bind);
         if advertised.ip().is_unspecified() {
-            return bad("advertise", "must be an address that others can reach");
+            return error("advertise", "must be an address that other members can reach");
         }
         if advertised.port() == 0 {
-            return bad("advertise", "must name a port");
+            return error("advertise", "must name a port");
         }
-        let pause = self.longest_pause.exact();
+        let pause = self.max_pause.exact();
         if pause < Duration::from_millis(100) || pause > Duration::from_secs(60) {
-            return bad("longest_pause", "must be between 100ms and 60s");
+            return error("longest_pause", "must be between 100ms and 60s");
         }
-        if !(2..=100_000).contains(&self.most) {
-            return bad("most", "must be between 2 and 100000");
+        if !(2..=100_000).contains(&self.max_members) {
+            return error("most", "must be between 2 and 100000");
         }
         let timing = self.timing();
         if timing.period < Duration::from_millis(20) {
-            return bad("period", "must be at least 20ms");
+            return error("period", "must be at least 20ms");
         }
         if timing.min_suspicion < timing.period * 2 {
-            return bad("suspicion", "must be at least two periods, or nobody has the time to deny it");
+            return error(
+                "suspicion",
+                "must be at least two periods, so that a live member has time to refute it",
+            );
         }
         if timing.min_suspicion < pause {
-            return bad("suspicion", "must be at least longest_pause, or a pause looks like an end");
+            return error(
+                "suspicion",
+                "must be at least longest_pause, so that a paused process does not appear dead",
+            );
         }
         if timing.headcount_settle < timing.min_suspicion {
-            return bad("settle", "must be at least the suspicion");
+            return error("settle", "must be at least suspicion");
         }
         if timing.retention < timing.headcount_settle {
-            return bad("forget", "must be at least settle");
+            return error("forget", "must be at least settle");
         }
         Ok(())
     }
 
-    /// What a sidecar of this configuration is told as a member.
+    /// Configuration of the membership protocol for a sidecar with this configuration.
     pub fn membership_config(&self, config: &Config) -> Result<membership::Config, String> {
         let name = Name::new(&config.name).filter(|name| !name.as_str().is_empty());
-        let name = name.ok_or_else(|| format!("{:?} is no name of a member: 1 to 40 bytes", config.name))?;
+        let name = name.ok_or_else(|| {
+            format!("{:?} is not a valid member name: must have 1 to 40 bytes", config.name)
+        })?;
         let zone = config.net.zones.get(config.settings.zone.0).map(String::as_str).unwrap_or_default();
         let mut member = membership::Config::new(&self.name, name, self.advertise.unwrap_or(self.bind));
         member.zone = Name::new(zone).unwrap_or_default();
@@ -311,16 +326,16 @@
         member.rank = u16::try_from(config.settings.rank).unwrap_or(u16::MAX);
         member.seeds = self.seeds.clone();
         member.timing = self.timing();
-        member.max_members = self.most;
+        member.max_members = self.max_members;
         Ok(member)
     }
 
-    /// Where it listens.
+    /// The listen address for datagrams and connections.
     pub fn listen_address(&self) -> SocketAddr {
         SocketAddr::V4(self.bind)
     }
 
-    /// What the file comes to, in a few lines.
+    /// A few lines that summarize the section, for `cometcroft check`.
     pub fn summary(&self) -> String {
         let timing = self.timing();
         let advertised = self.advertise.unwrap_or(self.bind);
@@ -331,7 +346,7 @@
             self.name,
             self.bind,
             self.seeds.len(),
-            self.most,
+            self.max_members,
             timing.max_pause,
             timing.period,
             timing.min_suspicion,
@@ -342,46 +357,54 @@
     }
 }
 
-/// Which whole, which field, what is wrong with it.
-type Wrong = (Option<usize>, &'static str, String);
+/// Index of the limit, if one is concerned, name of the field, and what is wrong with it.
+type LimitError = (Option<usize>, &'static str, String);
 
 impl BudgetSection {
-    fn wholes(&self, longest: Duration) -> Result<Vec<(Limit, BudgetUse)>, Wrong> {
-        let thousandths = |figure: f64| (figure * 1000.0).round() as u64;
+    fn limits(&self, max_hold: Duration) -> Result<Vec<(Limit, BudgetUse)>, LimitError> {
+        let to_thousandths = |number: f64| (number * 1000.0).round() as u64;
         let each = |(i, section): (usize, &LimitSection)| {
-            let bad = |field, reason: &str| Err((Some(i), field, reason.to_owned()));
-            let (level, tenant) = (section.what == UseKey::Open, section.what == UseKey::Tenant);
-            if section.tenant.is_some() != tenant {
-                return bad(
+            let error = |field, reason: &str| Err((Some(i), field, reason.to_owned()));
+            let (is_concurrency, is_tenant) =
+                (section.applies_to == UseKey::Open, section.applies_to == UseKey::Tenant);
+            if section.tenant.is_some() != is_tenant {
+                return error(
                     "tenant",
-                    if tenant { "is missing" } else { "belongs to use = \"tenant\" alone" },
+                    if is_tenant { "is missing" } else { "is only valid with use = \"tenant\"" },
                 );
             }
-            if section.level.is_some() != level {
-                return bad("level", if level { "is missing" } else { "belongs to use = \"open\" alone" });
+            if section.max_concurrent.is_some() != is_concurrency {
+                return error(
+                    "level",
+                    if is_concurrency { "is missing" } else { "is only valid with use = \"open\"" },
+                );
             }
-            if section.rate.is_some() == level {
-                return bad("rate", if level { "this use has a level" } else { "is missing" });
+            if section.rate.is_some() == is_concurrency {
+                return error(
+                    "rate",
+                    if is_concurrency { "this use has a level instead of a rate" } else { "is missing" },
+                );
             }
-            if level && section.burst.is_some() || !level && section.longest.is_some() {
-                let field = if level { "burst" } else { "longest" };
-                return bad(field, "does not belong to this use");
+            if is_concurrency && section.burst.is_some() || !is_concurrency && section.max_hold.is_some() {
+                let field = if is_concurrency { "burst" } else { "longest" };
+                return error(field, "is not valid for this use");
             }
-            let figures = [section.rate, section.burst, Some(section.floor)];
-            if figures.into_iter().flatten().any(|figure| !(0.0..=1e9).contains(&figure)) {
-                return bad("rate", "rate, burst and floor must be between 0 and 1e9");
+            let numbers = [section.rate, section.burst, Some(section.guaranteed_share)];
+            if numbers.into_iter().flatten().any(|number| !(0.0..=1e9).contains(&number)) {
+                return error("rate", "rate, burst and floor must be between 0 and 1e9");
             }
             let rate = section.rate.unwrap_or_default();
-            let (kind, size) = match section.level {
-                Some(level) => {
-                    let longest = section.longest.map_or(longest, Time::exact);
-                    (LimitKind::Concurrency { max_hold: longest }, u64::from(level) * 1000)
-                }
-                None => {
-                    (LimitKind::Rate { burst: thousandths(section.burst.unwrap_or(rate)) }, thousandths(rate))
+            let (kind, size) = match section.max_concurrent {
+                Some(max_concurrent) => {
+                    let max_hold = section.max_hold.map_or(max_hold, Time::exact);
+                    (LimitKind::Concurrency { max_hold }, u64::from(max_concurrent) * 1000)
                 }
+                None => (
+                    LimitKind::Rate { burst: to_thousandths(section.burst.unwrap_or(rate)) },
+                    to_thousandths(rate),
+                ),
             };
-            let (name, what) = match (section.what, &section.tenant) {
+            let (name, budget_use) = match (section.applies_to, &section.tenant) {
                 (UseKey::Tenant, tenant) => {
                     let tenant = tenant.clone().unwrap_or_default();
                     (format!("tenant {tenant}"), BudgetUse::Tenant(tenant))
@@ -392,14 +415,14 @@
                 (UseKey::Probes, _) => ("probes".to_owned(), BudgetUse::Probes),
                 (UseKey::Discovery, _) => ("discovery".to_owned(), BudgetUse::Discovery),
             };
-            Ok((Limit { name, kind, size, guaranteed: thousandths(section.floor) }, what))
+            Ok((Limit { name, kind, size, guaranteed: to_thousandths(section.guaranteed_share) }, budget_use))
         };
-        self.wholes.iter().enumerate().map(each).collect()
+        self.limits.iter().enumerate().map(each).collect()
     }
 
-    fn check(&self, fleet: Option<&FleetSection>) -> Result<(), Wrong> {
+    fn check(&self, fleet: Option<&FleetSection>) -> Result<(), LimitError> {
         let Some(fleet) = fleet else {
-            return Err((None, "keepers", "budgets need a [fleet] beside them".to_owned()));
+            return Err((None, "keepers", "budgets require a [fleet] section".to_owned()));
         };
         let (config, _) = self.config(fleet, Duration::from_secs(1))?;
         config.validate().map_err(|(field, reason)| (None, field, reason))
@@ -408,29 +431,30 @@
     fn config(
         &self,
         fleet: &FleetSection,
-        longest: Duration,
-    ) -> Result<(budget::Config, Vec<BudgetUse>), Wrong> {
+        max_hold: Duration,
+    ) -> Result<(budget::Config, Vec<BudgetUse>), LimitError> {
         let address = fleet.advertise.unwrap_or(fleet.bind);
         let lease = self.lease.exact();
-        let mut config = budget::Config::new(&fleet.name, address, self.keepers.clone(), lease);
-        (config.roster, config.weight, config.max_holders) = (self.roster.clone(), self.weight, fleet.most);
-        let (wholes, uses) = self.wholes(longest)?.into_iter().unzip();
-        config.limits = wholes;
+        let mut config = budget::Config::new(&fleet.name, address, self.voters.clone(), lease);
+        (config.roster, config.weight, config.max_holders) =
+            (self.roster.clone(), self.weight, fleet.max_members);
+        let (limits, uses) = self.limits(max_hold)?.into_iter().unzip();
+        config.limits = limits;
         Ok((config, uses))
     }
 
-    /// What a sidecar is told of the budgets, and what each whole is spent on.
+    /// Configuration of the budget protocol, and what each limit applies to.
     pub fn driver_config(
         &self,
         fleet: &FleetSection,
         config: &Config,
     ) -> Result<(budget::Config, Vec<BudgetUse>), String> {
-        // The sidecar itself ends a request at its deadline.
-        let told = self.config(fleet, config.longest_deadline());
-        told.map_err(|(_, field, reason)| format!("{field}: {reason}"))
+        // The sidecar ends a request at its deadline, so no request is open longer than the longest one.
+        let driver_config = self.config(fleet, config.longest_deadline());
+        driver_config.map_err(|(_, field, reason)| format!("{field}: {reason}"))
     }
 
-    /// What the section comes to, in a few lines.
+    /// A few lines that summarize the section, for `cometcroft check`.
     pub fn summary(&self, fleet: &FleetSection) -> String {
         let Ok((config, _)) = self.config(fleet, Duration::from_secs(1)) else { return String::new() };
         let mut text = format!(
@@ -440,15 +464,15 @@
             config.lease,
             config.with_clock_margin(config.vote_duration()),
         );
-        for (i, whole) in config.limits.iter().enumerate() {
-            let f = |thousandths: u64| thousandths as f64 / 1000.0;
-            let kind = match whole.kind {
-                LimitKind::Rate { burst } => format!("a second, burst {}", f(burst)),
+        for (i, limit) in config.limits.iter().enumerate() {
+            let units = |thousandths: u64| thousandths as f64 / 1000.0;
+            let kind = match limit.kind {
+                LimitKind::Rate { burst } => format!("a second, burst {}", units(burst)),
                 LimitKind::Concurrency { .. } => "at once".to_owned(),
             };
-            let (size, floor) = (f(whole.size), f(whole.guaranteed));
-            let least = f(config.share_unit(i));
-            text += &format!("\n  {}: {size} {kind}; least part {least}, floor {floor}", whole.name);
+            let (size, floor) = (units(limit.size), units(limit.guaranteed));
+            let least = units(config.share_unit(i));
+            text += &format!("\n  {}: {size} {kind}; least part {least}, floor {floor}", limit.name);
         }
         text
     }
--- a/crates/sidecar/src/operator_file/tests.rs
+++ b/crates/sidecar/src/operator_file/tests.rs
@@ -1,50 +1,50 @@
-//! Tests of `operator` that mean its private state.
+//! Tests of private parts of `operator_file`.
 
 use super::*;
 
 #[test]
-fn the_example_reads_and_errors_name_file_line_field_and_reason() {
+fn example_parses_and_errors_name_file_line_field_and_reason() {
     let example = include_str!("../../../../deploy/operator.toml");
-    let operator = OperatorFile::parse(example, "operator.toml").expect("the example reads");
+    let operator = OperatorFile::parse(example, "operator.toml").expect("example parses");
     assert!(operator.fleet.is_some());
-    let told = |text: &str| OperatorFile::parse(text, "o.toml").expect_err("refused").to_string();
+    let parse_error = |text: &str| OperatorFile::parse(text, "o.toml").expect_err("invalid file").to_string();
     let base = "[fleet]\nname = \"f\"\nbind = \"127.0.0.1:7946\"\n";
     assert!(OperatorFile::parse(base, "o.toml").is_ok());
-    assert!(OperatorFile::parse("", "o.toml").expect("an empty file").fleet.is_none());
-    let unknown = told(&format!("{base}longest_paus = \"2s\"\n"));
+    assert!(OperatorFile::parse("", "o.toml").expect("empty file parses").fleet.is_none());
+    let unknown = parse_error(&format!("{base}longest_paus = \"2s\"\n"));
     assert!(unknown.starts_with("o.toml:4:1: longest_paus: unknown field"), "{unknown}");
     assert!(unknown.contains("did you mean \"longest_pause\""), "{unknown}");
-    let short = told(&format!("{base}longest_pause = \"10ms\"\n"));
+    let short = parse_error(&format!("{base}longest_pause = \"10ms\"\n"));
     assert_eq!(short, "o.toml:4:1: longest_pause: must be between 100ms and 60s");
-    let open = told("[fleet]\nname = \"f\"\nbind = \"0.0.0.0:1\"\n");
+    let open = parse_error("[fleet]\nname = \"f\"\nbind = \"0.0.0.0:1\"\n");
     assert!(open.contains("advertise: must be an address"), "{open}");
-    let hasty = told(&format!("{base}[fleet.timing]\nsuspicion = \"1s\"\n"));
+    let hasty = parse_error(&format!("{base}[fleet.timing]\nsuspicion = \"1s\"\n"));
     assert!(hasty.starts_with("o.toml:5:1: suspicion: must be at least longest_pause"), "{hasty}");
-    assert!(told("[fleet]\nname = 1\n").starts_with("o.toml:2:8: name: invalid type"));
+    assert!(parse_error("[fleet]\nname = 1\n").starts_with("o.toml:2:8: name: invalid type"));
 }
 
-/// The example with its budgets switched on.
+/// The example file with its commented-out budget section enabled.
 fn with_budgets() -> String {
     let example = include_str!("../../../../deploy/operator.toml");
-    let from = example.find("# Budgets of the whole fleet").expect("its section");
-    let on = example[from..].lines().map(|line| match line.strip_prefix('#') {
+    let from = example.find("# Budgets of the whole fleet").expect("budget section");
+    let enabled = example[from..].lines().map(|line| match line.strip_prefix('#') {
         Some(rest) if rest.starts_with(|c: char| c == '[' || c.is_ascii_lowercase()) => rest,
         _ => line,
     });
-    example[..from].to_owned() + &on.collect::<Vec<&str>>().join("\n")
+    example[..from].to_owned() + &enabled.collect::<Vec<&str>>().join("\n")
 }
 
 #[test]
-fn budgets_read_and_what_makes_no_sense_names_its_field() {
+fn budgets_parse_and_errors_name_the_invalid_field() {
     let text = with_budgets();
-    let operator = OperatorFile::parse(&text, "o.toml").expect("the example reads");
-    let (fleet, budget) = (operator.fleet.expect("a fleet"), operator.budget.expect("budgets"));
-    let (config, uses) = budget.config(&fleet, Duration::from_secs(3)).expect("it makes sense");
-    let shared = [BudgetUse::Retries, BudgetUse::Connections, BudgetUse::Probes, BudgetUse::Discovery];
+    let operator = OperatorFile::parse(&text, "o.toml").expect("example parses");
+    let (fleet, budget) = (operator.fleet.expect("fleet section"), operator.budget.expect("budget section"));
+    let (config, uses) = budget.config(&fleet, Duration::from_secs(3)).expect("valid budgets");
+    let others = [BudgetUse::Retries, BudgetUse::Connections, BudgetUse::Probes, BudgetUse::Discovery];
     assert_eq!(uses[..2], [BudgetUse::Tenant("kiosks".into()), BudgetUse::Open]);
-    assert_eq!(uses[2..], shared);
+    assert_eq!(uses[2..], others);
     assert_eq!((config.pool(0), config.guaranteed_share(0)), (185_000, 5_000));
-    let told = |from: &str, to: &str| {
+    let parse_error = |from: &str, to: &str| {
         assert!(text.contains(from), "{from}");
         OperatorFile::parse(&text.replacen(from, to, 1), "o.toml").expect_err(to).to_string()
     };
@@ -59,9 +59,9 @@
         ("use = \"connections\"", "use = \"retries\"", "use", "retries is divided twice"),
         ("lease = \"4s\"", "lease = \"10ms\"", "lease", "between 200ms and 5m"),
     ] {
-        let error = told(from, to);
+        let error = parse_error(from, to);
         assert!(error.contains(&format!(": {field}: ")) && error.contains(reason), "{error}");
     }
-    let alone = text.replacen("[fleet]", "[flee]", 1);
-    assert!(OperatorFile::parse(&alone, "o.toml").is_err());
+    let without_fleet = text.replacen("[fleet]", "[flee]", 1);
+    assert!(OperatorFile::parse(&without_fleet, "o.toml").is_err());
 }
--- a/crates/sidecar/src/ops.rs
+++ b/crates/sidecar/src/ops.rs
@@ -1,5 +1,5 @@
-//! The operators' door: a second address with a listener, places and patience of its own, so that no crowd of clients
-//! keeps an operator out. One call a connection.
+//! The operations endpoint: a separate address for operators, with its own listener, connection limit and timeouts, so that
+//! a large number of clients can't keep operators out. Each connection carries one call.
 
 use crate::counters::{Counters, count};
 use crate::directory::Directory;
@@ -20,71 +20,76 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
 
-/// So many callers at once.
-const MOST: usize = 16;
-/// A call is whole so long after its connection, or it is let go.
-const UNREADY: Duration = Duration::from_millis(2000);
-/// A caller that takes no bytes of its answer for so long is let go.
-const STALLED: Duration = Duration::from_millis(1000);
+/// Maximum number of concurrent connections.
+const MAX_CONNECTIONS: usize = 16;
+/// Maximum time from the connection to the complete call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Maximum time to write a response.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// What an operator may call.
+/// A call of the operations endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process takes clients.
+    /// Returns whether this process accepts clients.
     Readiness,
-    /// The figures.
+    /// Returns the metrics.
     Stats,
-    /// Send clients away.
+    /// Starts draining: clients are asked to move to another sidecar.
     Drain,
-    /// The end of that.
+    /// Stops draining.
     Undrain,
-    /// Who is there, as this member of a fleet sees it.
+    /// Returns this sidecar's view of the fleet.
     Fleet,
-    /// The fleet's plan; the rest of the path says what of it.
+    /// Reads or changes the fleet's plan; [`ops_commands`] interprets the rest of the path.
     Plan,
 }
 
-/// The call that a method and a path stand for; else how it is answered, and the method that would do.
+/// Maps a method and a path to a call. An error holds the status of the response and, for a wrong method, the right one.
 pub fn route(method: &[u8], path: &[u8]) -> Result<Call, (Status, Option<&'static str>)> {
-    let (call, due) = match path {
+    let (call, expected_method) = match path {
         b"/ops/readiness" => (Call::Readiness, "GET"),
         b"/ops/stats" => (Call::Stats, "GET"),
         b"/ops/drain/start" => (Call::Drain, "PUT"),
         b"/ops/drain/stop" => (Call::Undrain, "PUT"),
         b"/ops/fleet" => (Call::Fleet, "GET"),
         _ => match path.strip_prefix(b"/ops/plan").and_then(ops_commands::allowed_method) {
-            Some(due) => (Call::Plan, due),
+            Some(expected_method) => (Call::Plan, expected_method),
             None => return Err((Status::NotFound, None)),
         },
     };
-    if method == due.as_bytes() { Ok(call) } else { Err((Status::NotAllowed, Some(due))) }
+    if method == expected_method.as_bytes() {
+        Ok(call)
+    } else {
+        Err((Status::NotAllowed, Some(expected_method)))
+    }
 }
 
-/// The door, and what it tells of.
+/// Serves the operations endpoint.
 pub struct OpsEndpoint<C: Carrier> {
     host: Rc<Host<C>>,
     directory: Rc<Directory>,
     life: Rc<Life<C::Platform>>,
     counters: Rc<Counters>,
     fleet: Option<Rc<Fleet<C::Platform>>>,
-    /// Callers that owe a call, the longest waiting first.
-    waiting: RefCell<BTreeMap<u64, Rc<Notify>>>,
-    turn: Cell<u64>,
-    most: usize,
-    open: Cell<usize>,
-    left: Notify,
+    /// Connections without a complete call, by their number, the oldest first. Notifying one closes it.
+    pending: RefCell<BTreeMap<u64, Rc<Notify>>>,
+    next_connection: Cell<u64>,
+    max_connections: usize,
+    open_connections: Cell<usize>,
+    /// Signals that a connection was closed.
+    closed: Notify,
 }
 
 type StreamOf<C> = <<C as Carrier>::Platform as Platform>::Stream;
 
 impl<C: Carrier> OpsEndpoint<C> {
-    /// A door to what these tell, with so many places.
+    /// Creates the endpoint, for a maximum number of concurrent connections.
     pub fn new(
         host: Rc<Host<C>>,
         directory: Rc<Directory>,
         life: Rc<Life<C::Platform>>,
         counters: Rc<Counters>,
-        (fleet, places): (Option<Rc<Fleet<C::Platform>>>, usize),
+        (fleet, connections): (Option<Rc<Fleet<C::Platform>>>, usize),
     ) -> Rc<OpsEndpoint<C>> {
         Rc::new(OpsEndpoint {
             host,
@@ -92,57 +97,62 @@
             life,
             counters,
             fleet,
-            most: places.clamp(1, MOST),
-            waiting: RefCell::default(),
-            turn: Cell::new(0),
-            open: Cell::new(0),
-            left: Notify::new(),
+            max_connections: connections.clamp(1, MAX_CONNECTIONS),
+            pending: RefCell::default(),
+            next_connection: Cell::new(0),
+            open_connections: Cell::new(0),
+            closed: Notify::new(),
         })
     }
 
-    /// Answers operators for ever.
+    /// Accepts and serves connections until the future is dropped.
     pub async fn run(self: Rc<Self>, listener: <C::Platform as Platform>::Listener) {
         let platform = self.host.platform().clone();
         loop {
-            // Danger: callers that say nothing would keep out those that ask; so the longest silent makes room.
-            while self.open.get() >= self.most {
-                if let Some((_, first)) = self.waiting.borrow_mut().pop_first() {
-                    first.notify_one();
+            // Silent connections must not keep out those with a call: the one that has been silent longest is closed.
+            while self.open_connections.get() >= self.max_connections {
+                if let Some((_, oldest)) = self.pending.borrow_mut().pop_first() {
+                    oldest.notify_one();
                 }
-                let _ = platform.timeout(Duration::from_millis(10), self.left.notified()).await;
+                let _ = platform.timeout(Duration::from_millis(10), self.closed.notified()).await;
             }
             let stream = admit(&platform, &listener, &self.counters, || ()).await;
-            let door = self.clone();
-            self.open.set(self.open.get() + 1);
+            let endpoint = self.clone();
+            self.open_connections.set(self.open_connections.get() + 1);
             platform.detach(async move {
-                let _ = door.serve(stream).await;
-                door.open.set(door.open.get() - 1);
-                door.left.notify_one();
+                let _ = endpoint.serve(stream).await;
+                endpoint.open_connections.set(endpoint.open_connections.get() - 1);
+                endpoint.closed.notify_one();
             });
         }
     }
 
-    /// One call.
+    /// Serves one connection.
     async fn serve(&self, mut stream: StreamOf<C>) -> io::Result<()> {
         let platform = self.host.platform();
         send_promptly(&stream);
-        let turn = self.turn.replace(self.turn.get() + 1);
+        let number = self.next_connection.replace(self.next_connection.get() + 1);
         let wake = Rc::new(Notify::new());
-        self.waiting.borrow_mut().insert(turn, wake.clone());
-        let answer = self.hear(&mut stream, &wake).await;
-        self.waiting.borrow_mut().remove(&turn);
-        if let Some(answer) = answer? {
+        self.pending.borrow_mut().insert(number, wake.clone());
+        let response = self.read_and_answer(&mut stream, &wake).await;
+        self.pending.borrow_mut().remove(&number);
+        if let Some(response) = response? {
             count(&self.counters.ops_calls);
-            platform.timeout(STALLED, stream.write_all(&answer)).await??;
+            platform.timeout(WRITE_TIMEOUT, stream.write_all(&response)).await??;
             bid_farewell(platform, &mut stream, false).await?;
         }
         Ok(())
     }
 
-    /// Hears a call and gives the answer to it; none to who leaves, says nothing or makes room.
-    async fn hear(&self, stream: &mut StreamOf<C>, wake: &Notify) -> io::Result<Option<bytes::BytesMut>> {
+    /// Reads a call and returns the response to it; `None` if the client disconnected, sent nothing in time or was closed to
+    /// make room.
+    async fn read_and_answer(
+        &self,
+        stream: &mut StreamOf<C>,
+        wake: &Notify,
+    ) -> io::Result<Option<bytes::BytesMut>> {
         let platform = self.host.platform();
-        let until = platform.now() + UNREADY;
+        let until = platform.now() + CALL_TIMEOUT;
         let mut machine = Connection::default();
         loop {
             match machine.step() {
@@ -152,8 +162,8 @@
                         read = stream.read_buf(machine.buffer()) => read?,
                         () = wake.notified() => 0,
                         () = platform.sleep_until(until) => {
-                            let half = !machine.idle();
-                            return Ok(half.then(|| refuse(&mut machine, Status::RequestTimeout)));
+                            let is_incomplete = !machine.idle();
+                            return Ok(is_incomplete.then(|| refuse(&mut machine, Status::RequestTimeout)));
                         }
                     };
                     if read == 0 {
@@ -169,7 +179,7 @@
     }
 
     async fn answer(&self, machine: &mut Connection, request: &Request) -> bytes::BytesMut {
-        let (status, extra, body) = match route(&request.method, request.path()) {
+        let (status, headers, body) = match route(&request.method, request.path()) {
             Ok(call) => {
                 let (status, body) = self.call(call, request).await;
                 (status, "Content-Type: application/json\r\n".to_owned(), body)
@@ -179,7 +189,7 @@
                 (status, allow.unwrap_or_default(), String::new())
             }
         };
-        let mut message = machine.answer(status, &extra, body.len(), true);
+        let mut message = machine.answer(status, &headers, body.len(), true);
         message.extend_from_slice(body.as_bytes());
         message
     }
@@ -217,7 +227,7 @@
         }
     }
 
-    /// All figures, as they are now.
+    /// The current metrics.
     pub fn report(&self) -> Report {
         Report {
             operations: self.counters.figures.tallies(),
--- a/crates/sidecar/src/ops_commands.rs
+++ b/crates/sidecar/src/ops_commands.rs
@@ -1,5 +1,5 @@
-//! Operators' words at the door: `/ops/plan` and what lies under it. A word's own fields come as a query, a text as the
-//! body; every refusal is JSON with a code, what is wrong, and what can be done.
+//! The part of the operations endpoint under `/ops/plan`: reads the plan and proposes commands. Arguments are passed in the
+//! query, a revision's text in the body. Errors are JSON with a code, a description and a remedy.
 
 use crate::directory::Directory;
 use crate::http::server::{Request, Status};
@@ -12,10 +12,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A permit is shown as overdue after so many seconds, if the word does not say.
-const FOR_S: u32 = 300;
+/// Time after which a permit is shown as overdue, if the call does not give `for_s`, in seconds.
+const DEFAULT_OVERDUE_AFTER_S: u32 = 300;
 
-/// What a path under `/ops/plan` asks for; else the method that would do, if there is such a path.
+/// The HTTP method of a path under `/ops/plan`; `None` if there is no such path.
 pub fn allowed_method(path: &[u8]) -> Option<&'static str> {
     match path {
         b"" => Some("GET"),
@@ -28,49 +28,49 @@
 
 type Query = BTreeMap<String, String>;
 
-fn query(request: &Request) -> Query {
+fn parse_query(request: &Request) -> Query {
     let text = String::from_utf8_lossy(&request.target).into_owned();
     let pairs = text.split_once('?').map(|(_, query)| query.to_owned()).unwrap_or_default();
-    let plain = |text: &str| percent(&text.replace('+', " "));
-    pairs.split('&').filter_map(|pair| pair.split_once('=')).map(|(k, v)| (plain(k), plain(v))).collect()
+    let decode = |text: &str| percent_decode(&text.replace('+', " "));
+    pairs.split('&').filter_map(|pair| pair.split_once('=')).map(|(k, v)| (decode(k), decode(v))).collect()
 }
 
-/// Percent-encoded bytes of a query's value.
-fn percent(text: &str) -> String {
-    let (bytes, mut out, mut at) = (text.as_bytes(), Vec::with_capacity(text.len()), 0);
+/// Decodes percent-encoded bytes. An incomplete or invalid sequence stays as it is.
+fn percent_decode(text: &str) -> String {
+    let (bytes, mut decoded, mut at) = (text.as_bytes(), Vec::with_capacity(text.len()), 0);
     while at < bytes.len() {
-        let two = bytes.get(at + 1..at + 3).and_then(|two| std::str::from_utf8(two).ok());
-        match (bytes[at], two.and_then(|two| u8::from_str_radix(two, 16).ok())) {
+        let digits = bytes.get(at + 1..at + 3).and_then(|digits| std::str::from_utf8(digits).ok());
+        match (bytes[at], digits.and_then(|digits| u8::from_str_radix(digits, 16).ok())) {
             (b'%', Some(byte)) => {
-                out.push(byte);
+                decoded.push(byte);
                 at += 3;
             }
             (byte, _) => {
-                out.push(byte);
+                decoded.push(byte);
                 at += 1;
             }
         }
     }
-    String::from_utf8_lossy(&out).into_owned()
+    String::from_utf8_lossy(&decoded).into_owned()
 }
 
-fn bad(field: &str, reason: &str) -> (Status, Value) {
+fn bad_call(field: &str, reason: &str) -> (Status, Value) {
     let remedy = "mend the call as the text says; docs/fleet-plan.md lists the calls";
     (Status::BadRequest, json!({"code": "door.call", "text": format!("{field}: {reason}"), "do": remedy}))
 }
 
-fn number<T: std::str::FromStr>(query: &Query, field: &str) -> Result<Option<T>, (Status, Value)> {
+fn optional<T: std::str::FromStr>(query: &Query, field: &str) -> Result<Option<T>, (Status, Value)> {
     match query.get(field) {
         None => Ok(None),
-        Some(text) => text.parse().map(Some).map_err(|_| bad(field, "is no number that fits")),
+        Some(text) => text.parse().map(Some).map_err(|_| bad_call(field, "is no number that fits")),
     }
 }
 
-fn wanted<T: std::str::FromStr>(query: &Query, field: &str) -> Result<T, (Status, Value)> {
-    number(query, field)?.ok_or_else(|| bad(field, "is missing"))
+fn required<T: std::str::FromStr>(query: &Query, field: &str) -> Result<T, (Status, Value)> {
+    optional(query, field)?.ok_or_else(|| bad_call(field, "is missing"))
 }
 
-fn refused(failure: &CommandError) -> (Status, Value) {
+fn error_response(failure: &CommandError) -> (Status, Value) {
     let status = match failure {
         failure if failure.is_outcome_unknown() => Status::GatewayTimeout,
         CommandError::Log(ConsensusError::NotBootstrapped | ConsensusError::TooManyProposals(_)) => {
@@ -81,7 +81,7 @@
     (status, failure.json())
 }
 
-/// Answers a call under `/ops/plan`.
+/// Handles a call under `/ops/plan` and returns the status and body of the response.
 pub async fn handle<P: Platform>(
     plan: &Rc<PlanDriver<P>>,
     directory: &Directory,
@@ -89,9 +89,9 @@
     path: &[u8],
     request: &Request,
 ) -> (Status, String) {
-    let (status, value) = match said(plan, directory, life, path, request).await {
+    let (status, value) = match execute(plan, directory, life, path, request).await {
         Ok(value) => (Status::Ok, value),
-        Err(refused) => refused,
+        Err(response) => response,
     };
     let text = match value {
         Value::String(text) => text,
@@ -100,8 +100,9 @@
     (status, text)
 }
 
-/// A planned stop: this sidecar leaves, as after SIGTERM, once its permit is given; never if it is given back first.
-fn leave_in_turn<P: Platform>(plan: &Rc<PlanDriver<P>>, life: &Rc<Life<P>>, permit: u32) {
+/// Planned stop: this sidecar shuts down, as after SIGTERM, once its permit is granted; not at all if the permit is returned
+/// first.
+fn leave_when_permitted<P: Platform>(plan: &Rc<PlanDriver<P>>, life: &Rc<Life<P>>, permit: u32) {
     let (plan, life) = (plan.clone(), life.clone());
     let platform = plan.platform().clone();
     platform.detach(async move {
@@ -111,76 +112,85 @@
     });
 }
 
-async fn said<P: Platform>(
+/// Executes a call and returns the body of its response.
+async fn execute<P: Platform>(
     plan: &Rc<PlanDriver<P>>,
     directory: &Directory,
     life: &Rc<Life<P>>,
     path: &[u8],
     request: &Request,
 ) -> Result<Value, (Status, Value)> {
-    let query = query(request);
-    let text = || String::from_utf8(request.body.to_vec()).map_err(|_| bad("body", "is no UTF-8"));
-    let permit = |query: &Query| wanted::<u32>(query, "permit");
-    let word = match path {
+    let query = parse_query(request);
+    let text = || String::from_utf8(request.body.to_vec()).map_err(|_| bad_call("body", "is no UTF-8"));
+    let permit = |query: &Query| required::<u32>(query, "permit");
+    let command = match path {
         b"" => return Ok(plan.status_json()),
         b"/revision" => {
-            let number = wanted(&query, "number")?;
-            return plan.revision_text(number).map(Value::String).map_err(|failure| refused(&failure));
+            let number = required(&query, "number")?;
+            return plan.revision_text(number).map(Value::String).map_err(|failure| error_response(&failure));
         }
         b"/refound" => {
-            let index = plan.bootstrap().await.map_err(|failure| refused(&failure))?;
+            let index = plan.bootstrap().await.map_err(|failure| error_response(&failure))?;
             return Ok(json!({"founded": true, "index": index}));
         }
         b"/read" => Command::Noop,
         b"/propose" | b"/release" => {
             let text = text()?;
-            plan.check_endpoints_left(&text, &directory.listed()).map_err(|failure| refused(&failure))?;
+            plan.check_endpoints_left(&text, &directory.listed())
+                .map_err(|failure| error_response(&failure))?;
             match query.get("waves") {
                 None if path == b"/propose" => Command::Propose { text },
-                None => return Err(bad("waves", "is missing: shares in thousandths, such as 50,250,1000")),
-                Some(_) if path == b"/propose" => return Err(bad("waves", "belongs to /ops/plan/release")),
+                None => {
+                    return Err(bad_call("waves", "is missing: shares in thousandths, such as 50,250,1000"));
+                }
+                Some(_) if path == b"/propose" => {
+                    return Err(bad_call("waves", "belongs to /ops/plan/release"));
+                }
                 Some(waves) => {
                     let waves: Result<Vec<u16>, _> =
                         waves.split(',').map(|wave| wave.trim().parse()).collect();
-                    let waves = waves.map_err(|_| bad("waves", "wants whole numbers with commas"))?;
+                    let waves = waves.map_err(|_| bad_call("waves", "wants whole numbers with commas"))?;
                     Command::Release { text, waves }
                 }
             }
         }
         b"/rollback" => {
-            let to = wanted(&query, "to")?;
-            // A revision that was right once may leave too little of what is there now.
-            let text = plan.revision_text(to).map_err(|failure| refused(&failure))?;
-            plan.check_endpoints_left(&text, &directory.listed()).map_err(|failure| refused(&failure))?;
+            let to = required(&query, "to")?;
+            // A revision that was valid when proposed may leave too few of the present endpoints.
+            let text = plan.revision_text(to).map_err(|failure| error_response(&failure))?;
+            plan.check_endpoints_left(&text, &directory.listed())
+                .map_err(|failure| error_response(&failure))?;
             Command::RollBackTo { revision: to }
         }
-        b"/pin" => Command::Pin { revision: wanted(&query, "revision")?, pinned: !query.contains_key("off") },
+        b"/pin" => {
+            Command::Pin { revision: required(&query, "revision")?, pinned: !query.contains_key("off") }
+        }
         b"/halt" => Command::Halt,
         b"/resume" => Command::Resume,
         b"/back" => Command::RollBackRelease,
         b"/drain" => {
-            let name: String = wanted(&query, "server")?;
+            let name: String = required(&query, "server")?;
             let listed = directory.listed();
-            let row = listed.iter().find(|(listed, ..)| *listed == name);
-            let Some((_, zone, ..)) = row else {
-                return Err(bad("server", "no backend server of that name is listed here"));
+            let endpoint = listed.iter().find(|(listed, ..)| *listed == name);
+            let Some((_, zone, ..)) = endpoint else {
+                return Err(bad_call("server", "no backend server of that name is listed here"));
             };
-            plan.check_drain(&name, &listed).map_err(|failure| refused(&failure))?;
+            plan.check_drain(&name, &listed).map_err(|failure| error_response(&failure))?;
             let (zone, tier) = (zone.clone(), plan.tier());
             Command::RequestPermit {
                 target: PermitTarget::Endpoint(name),
                 zone,
                 tier,
-                overdue_after_s: number(&query, "for_s")?.unwrap_or(FOR_S),
+                overdue_after_s: optional(&query, "for_s")?.unwrap_or(DEFAULT_OVERDUE_AFTER_S),
             }
         }
         b"/restart" => {
-            let (what, zone, tier) = plan.own_permit_target();
+            let (target, zone, tier) = plan.own_permit_target();
             Command::RequestPermit {
-                target: what,
+                target,
                 zone,
                 tier,
-                overdue_after_s: number(&query, "for_s")?.unwrap_or(FOR_S),
+                overdue_after_s: optional(&query, "for_s")?.unwrap_or(DEFAULT_OVERDUE_AFTER_S),
             }
         }
         b"/return" => Command::ReturnPermit { permit: permit(&query)? },
@@ -188,15 +198,15 @@
         _ => return Err((Status::NotFound, json!({}))),
     };
     let reason = query.get("reason").map(String::as_str).unwrap_or_default();
-    let (expects, id) = (number(&query, "expects")?, number(&query, "id")?);
-    match plan.propose(word, reason, expects, id).await {
+    let (expected_revision, id) = (optional(&query, "expects")?, optional(&query, "id")?);
+    match plan.propose(command, reason, expected_revision, id).await {
         Ok(CommandOutcome::Applied { index, number }) => {
             if path == b"/restart" && query.contains_key("leave") {
-                leave_in_turn(plan, life, number);
+                leave_when_permitted(plan, life, number);
             }
             Ok(json!({"taken": true, "index": index, "number": number}))
         }
-        Ok(CommandOutcome::Rejected(error)) => Err(refused(&error.into())),
-        Err(failure) => Err(refused(&failure)),
+        Ok(CommandOutcome::Rejected(error)) => Err(error_response(&error.into())),
+        Err(failure) => Err(error_response(&failure)),
     }
 }
--- a/crates/sidecar/src/plan_driver.rs
+++ b/crates/sidecar/src/plan_driver.rs
@@ -1,6 +1,6 @@
-//! The fleet's plan at this sidecar: the driver of [`Log`] and [`Plan`] on a [`Platform`]. Its messages come and go by the
-//! fleet's socket. What is agreed reaches the module as settings and edits of the list; who owns what is in force says
-//! when it is.
+//! Plan driver: runs the replicated [`Log`] and its state machine, the [`Plan`], on a [`Platform`]. Messages travel over the
+//! fleet's socket. Agreed revisions reach the decision module as settings and as changes to the endpoint list; the owner
+//! of the active settings reports when they are in force ([`PlanDriver::mark_in_force`]).
 
 use crate::http::server::Request;
 use cometcroft::Settings;
@@ -22,61 +22,67 @@
 use thiserror::Error;
 use tokio::sync::Notify;
 
-/// The keepers are told where this one stands so often at least.
+/// Maximum interval between status reports to the voters.
 const STATUS_INTERVAL: Duration = Duration::from_secs(1);
-/// What only the leader says is thought of so often.
+/// Interval at which the leader runs the controller.
 const CONTROLLER_INTERVAL: Duration = Duration::from_millis(100);
-/// Peers are looked up anew so often, and whoever was not heard of for so long stands nowhere.
+/// Interval at which peers and sidecar statuses are refreshed from the membership.
 const PEER_REFRESH_INTERVAL: Duration = Duration::from_millis(500);
+/// A sidecar whose last status report is older than this counts as not ready.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(4);
-/// An operator waits for an answer for so long, and for a founding's.
+/// How long an operator's call waits for the outcome of a command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long an operator's call waits for the log to be bootstrapped.
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_secs(8);
+/// Maximum number of sidecars whose status reports are kept.
+const MAX_STATUSES: usize = 100_000;
+/// Maximum length of an operator's reason, in characters.
+const MAX_REASON_CHARS: usize = 200;
 
-/// What hears of events worth a line in the log.
+/// Callback for events that are logged.
 pub type Listener = Box<dyn Fn(PlanEvent)>;
 
-/// Something worth a line in the log.
+/// An event of the plan at this sidecar that is logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlanEvent {
-    /// This revision is in force here, up to this entry of the log.
+    /// A revision came into force at this sidecar.
     InForce {
-        /// Which.
+        /// The revision's number.
         revision: u32,
-        /// The entry.
+        /// Index of the last log entry that is in force.
         index: u64,
     },
-    /// It serves by its file, as no plan was heard of in time.
+    /// No plan was received within the initial wait; the sidecar serves with its configuration file alone.
     NoPlan,
-    /// Retries storm, or no longer do.
+    /// A retry storm began (`true`) or ended (`false`).
     RetryStorm(bool),
 }
 
-/// What a sidecar is given for its part in the plan.
+/// What a [`PlanDriver`] is built from.
 pub struct PlanParts {
-    /// What it is told of the log.
+    /// Configuration of the replicated log.
     pub config: Config,
-    /// A process that starts waits for the plan for so long before it takes clients.
+    /// Maximum time that a starting process waits for the plan before it accepts clients.
     pub wait: Duration,
-    /// The budgets divide attempts beyond the first: without that no rule could hold over a cluster.
-    pub divides: bool,
-    /// Hears of events.
+    /// The budgets limit retries. A retry rule of the plan can hold for the whole fleet only then.
+    pub retries_limited: bool,
+    /// Receives events to log.
     pub listener: Listener,
 }
 
-/// Why a word was not taken, or is not known to be.
+/// Why a command was not applied, or why its outcome is unknown.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CommandError {
-    /// The log's reason.
+    /// The log did not accept the command, or its outcome is unknown.
     #[error(transparent)]
     Log(#[from] ConsensusError),
-    /// The plan's.
+    /// The plan rejected the command.
     #[error(transparent)]
     Plan(#[from] PlanError),
 }
 
 impl CommandError {
-    /// A code that stays.
+    /// A stable identifier for tools.
     pub fn code(&self) -> &'static str {
         match self {
             CommandError::Log(error) => error.code(),
@@ -84,7 +90,7 @@
         }
     }
 
-    /// For an operator: what is wrong, and what can be done.
+    /// The error for operators: code, description and remedy.
     pub fn json(&self) -> Value {
         let remedy = match self {
             CommandError::Log(error) => error.remedy(),
@@ -93,55 +99,57 @@
         json!({"code": self.code(), "text": self.to_string(), "do": remedy})
     }
 
-    /// Whether the word may have been taken all the same.
+    /// Returns whether the command may have been applied nevertheless.
     pub fn is_outcome_unknown(&self) -> bool {
         matches!(self, CommandError::Log(ConsensusError::Unknown(_)))
     }
 }
 
-/// What one sidecar tells the keepers of itself.
+/// Status that a sidecar reports to the voters. Encoded with postcard: the order of the fields is the wire format.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct StatusReport {
     name: String,
     generation: u64,
-    /// The founding that `index` is of.
-    founding: u64,
+    /// Bootstrap of the log that `index` belongs to.
+    bootstrap_id: u64,
+    /// Last log entry that is in force at the sidecar.
     index: u64,
     revision: u32,
     ready: bool,
-    tries: (u64, u64),
+    /// First attempts and retries since the previous report.
+    attempt_counts: (u64, u64),
 }
 
 impl StatusReport {
-    /// Which of two words of one sidecar is the later. Danger: after a founding the same entry has a lower number, or
-    /// another content under the same one; what was confirmed before it confirms nothing now.
-    fn place(&self) -> (u64, u64, u64) {
-        (self.generation, self.founding, self.index)
+    /// Orders the reports of one sidecar by age. The bootstrap precedes the index, as a bootstrapped log may give an entry a
+    /// lower index, or another entry the same index: what was confirmed before a bootstrap confirms nothing after it.
+    fn recency(&self) -> (u64, u64, u64) {
+        (self.generation, self.bootstrap_id, self.index)
     }
 
-    /// The entry up to which it has put the plan of this founding in force.
-    fn confirms(&self, founding: u64) -> u64 {
-        if self.founding == founding { self.index } else { 0 }
+    /// Index of the last entry in force at the sidecar; 0 if the report is about another bootstrap.
+    fn confirmed_index(&self, bootstrap_id: u64) -> u64 {
+        if self.bootstrap_id == bootstrap_id { self.index } else { 0 }
     }
 }
 
 struct ReceivedStatus {
-    at: Time,
-    told: StatusReport,
+    received_at: Time,
+    report: StatusReport,
 }
 
 impl ReceivedStatus {
-    /// Of this start: what it confirms of this founding, and whether it takes clients.
-    fn stands(&self, generation: u64, founding: u64, now: Time) -> Option<(u64, bool)> {
-        let ready = self.told.ready && self.at + STATUS_TIMEOUT > now;
-        (self.told.generation == generation).then(|| (self.told.confirms(founding), ready))
+    /// Confirmed index and readiness, if the report is of this generation of the sidecar.
+    fn confirmed_state(&self, generation: u64, bootstrap_id: u64, now: Time) -> Option<(u64, bool)> {
+        let ready = self.report.ready && self.received_at + STATUS_TIMEOUT > now;
+        (self.report.generation == generation).then(|| (self.report.confirmed_index(bootstrap_id), ready))
     }
 }
 
-/// Backend servers as a door's own list has them: name, zone, group, and whether it is ready.
+/// Endpoints on this sidecar's own list: name, zone, group, readiness.
 pub type ListedEndpoints = Vec<(String, String, usize, bool)>;
 
-/// The plan at this sidecar.
+/// Takes part in the plan on behalf of one sidecar.
 pub struct PlanDriver<P: Platform> {
     platform: P,
     origin: Instant,
@@ -154,37 +162,42 @@
     zone: String,
     tier: u8,
     wait: Duration,
-    divides: bool,
-    /// The entry up to which it is in force here, and the one that was told of last.
+    retries_limited: bool,
+    /// Position in the log up to which the plan is in force at this sidecar.
     in_force: Cell<Position>,
-    noticed: Cell<Position>,
+    /// Position that [`PlanDriver::position_changed`] reported last.
+    notified_position: Cell<Position>,
     revision: Cell<u32>,
     storm: Cell<bool>,
-    /// Something is to be said or told.
+    /// Signals that messages are waiting to be sent.
     pub(crate) wake: Notify,
+    /// Signals that the log's position has changed.
     applied: Notify,
-    next_tell: Cell<Time>,
-    next_meet: Cell<Time>,
-    next_steward: Cell<Time>,
-    /// What the leader said last, and when: it is not said again before it can have been agreed on.
-    said: Cell<(u64, Time)>,
-    heard: RefCell<BTreeMap<String, ReceivedStatus>>,
-    standing: RefCell<Vec<SidecarStatus>>,
-    ready: RefCell<Option<Box<dyn Fn() -> bool>>>,
-    barred: Cell<u64>,
-    sent: Cell<u64>,
+    next_status_at: Cell<Time>,
+    next_peer_refresh_at: Cell<Time>,
+    next_controller_at: Cell<Time>,
+    /// Id and time of the controller's last proposal; it is not repeated before it can have been agreed on.
+    last_proposal: Cell<(u64, Time)>,
+    /// Latest status report of each sidecar, by its name.
+    statuses: RefCell<BTreeMap<String, ReceivedStatus>>,
+    /// All sidecars that the membership knows, with what they have confirmed.
+    sidecars: RefCell<Vec<SidecarStatus>>,
+    readiness: RefCell<Option<Box<dyn Fn() -> bool>>>,
+    /// Retries that the plan's rules denied.
+    denied: Cell<u64>,
+    sent_bytes: Cell<u64>,
     rng: RefCell<fastrand::Rng>,
 }
 
 impl<P: Platform> PlanDriver<P> {
-    /// The plan at a sidecar that starts now, as this member.
-    pub fn new(platform: P, parts: PlanParts, me: &Record, seed: u64) -> Rc<PlanDriver<P>> {
-        let PlanParts { config, wait, divides, listener } = parts;
-        let generation = me.generation;
-        // Danger: sidecars of one configuration have one seed; two doors that drew one number for two words would have the
-        // second answered with what came of the first.
+    /// Creates the driver of a sidecar that starts now; `local` is its own membership record.
+    pub fn new(platform: P, parts: PlanParts, local: &Record, seed: u64) -> Rc<PlanDriver<P>> {
+        let PlanParts { config, wait, retries_limited, listener } = parts;
+        let generation = local.generation;
+        // Sidecars with the same configuration have the same seed. If two of them drew the same id for two commands, the
+        // second command would be answered with the outcome of the first.
         let own =
-            cometcroft_settings::hash(me.name.as_str()) ^ generation.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+            cometcroft_settings::hash(local.name.as_str()) ^ generation.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let seed = seed ^ own;
         let log = Log::new(config, Time::ZERO, generation, seed);
         Rc::new(PlanDriver {
@@ -193,27 +206,27 @@
             controller: RefCell::default(),
             throttle: RefCell::new(RetryThrottle::new(Rc::new(RevisionContent::empty()), Time::ZERO)),
             listener,
-            name: me.name.to_string(),
+            name: local.name.to_string(),
             generation,
-            zone: me.zone.to_string(),
-            tier: me.tier,
+            zone: local.zone.to_string(),
+            tier: local.tier,
             wait,
-            divides,
+            retries_limited,
             in_force: Cell::new(Position::default()),
-            noticed: Cell::new(Position::default()),
+            notified_position: Cell::new(Position::default()),
             revision: Cell::new(0),
             storm: Cell::new(false),
             wake: Notify::new(),
             applied: Notify::new(),
-            next_tell: Cell::new(Time::ZERO),
-            next_meet: Cell::new(Time::ZERO),
-            next_steward: Cell::new(Time::ZERO),
-            said: Cell::new((0, Time::ZERO)),
-            heard: RefCell::default(),
-            standing: RefCell::default(),
-            ready: RefCell::new(None),
-            barred: Cell::new(0),
-            sent: Cell::new(0),
+            next_status_at: Cell::new(Time::ZERO),
+            next_peer_refresh_at: Cell::new(Time::ZERO),
+            next_controller_at: Cell::new(Time::ZERO),
+            last_proposal: Cell::new((0, Time::ZERO)),
+            statuses: RefCell::default(),
+            sidecars: RefCell::default(),
+            readiness: RefCell::new(None),
+            denied: Cell::new(0),
+            sent_bytes: Cell::new(0),
             rng: RefCell::new(fastrand::Rng::with_seed(seed ^ 0x5eed)),
             platform,
         })
@@ -223,213 +236,219 @@
         self.platform.since(self.origin)
     }
 
-    /// Tells whether this sidecar takes clients.
-    pub fn set_readiness(&self, ready: impl Fn() -> bool + 'static) {
-        self.ready.replace(Some(Box::new(ready)));
+    /// Sets the function that returns whether this sidecar accepts clients.
+    pub fn set_readiness(&self, readiness: impl Fn() -> bool + 'static) {
+        self.readiness.replace(Some(Box::new(readiness)));
     }
 
     pub(crate) fn next_wakeup(&self) -> Instant {
-        let own = self.next_tell.get().min(self.next_meet.get());
+        let own = self.next_status_at.get().min(self.next_peer_refresh_at.get());
         let log = self.log.borrow();
-        let own = if log.leads(self.now()) { own.min(self.next_steward.get()) } else { own };
+        let own = if log.leads(self.now()) { own.min(self.next_controller_at.get()) } else { own };
         self.origin + log.next_at().min(own)
     }
 
     pub(crate) fn tick(&self, members: &Membership) {
         let now = self.now();
-        if now >= self.next_meet.get() {
-            self.next_meet.set(now + PEER_REFRESH_INTERVAL);
-            self.meet(members, now);
+        if now >= self.next_peer_refresh_at.get() {
+            self.next_peer_refresh_at.set(now + PEER_REFRESH_INTERVAL);
+            self.refresh_peers(members, now);
         }
         self.log.borrow_mut().tick(now);
-        if now >= self.next_tell.get() {
-            self.tell(now);
+        if now >= self.next_status_at.get() {
+            self.send_status(now);
         }
-        if now >= self.next_steward.get() {
-            self.next_steward.set(now + CONTROLLER_INTERVAL);
-            self.lead(now);
+        if now >= self.next_controller_at.get() {
+            self.next_controller_at.set(now + CONTROLLER_INTERVAL);
+            self.run_controller(now);
         }
     }
 
     pub(crate) fn receive(&self, bytes: &[u8]) {
         self.log.borrow_mut().receive(self.now(), bytes);
         loop {
-            let aside = self.log.borrow_mut().take_out_of_band();
-            let Some((_, bytes)) = aside else { break };
-            if let Ok(told) = postcard::from_bytes::<StatusReport>(&bytes) {
-                self.heard(told);
+            let message = self.log.borrow_mut().take_out_of_band();
+            let Some((_, bytes)) = message else { break };
+            if let Ok(report) = postcard::from_bytes::<StatusReport>(&bytes) {
+                self.record_status(report);
             }
         }
     }
 
-    fn heard(&self, told: StatusReport) {
-        let at = self.now();
-        self.controller.borrow_mut().record_attempts(&told.name, told.tries);
-        let mut heard = self.heard.borrow_mut();
-        let known = heard.get(&told.name);
-        // Danger: a late word of an older start, or an older word of this one, must not stand for the present.
-        let older = known.is_some_and(|known| told.place() < known.told.place());
-        if !older && (known.is_some() || heard.len() < 100_000) {
-            heard.insert(told.name.clone(), ReceivedStatus { at, told });
+    fn record_status(&self, report: StatusReport) {
+        let received_at = self.now();
+        self.controller.borrow_mut().record_attempts(&report.name, report.attempt_counts);
+        let mut statuses = self.statuses.borrow_mut();
+        let known = statuses.get(&report.name);
+        // A delayed report, of this process or of a predecessor, must not replace a newer one.
+        let older = known.is_some_and(|known| report.recency() < known.report.recency());
+        if !older && (known.is_some() || statuses.len() < MAX_STATUSES) {
+            statuses.insert(report.name.clone(), ReceivedStatus { received_at, report });
         }
     }
 
     pub(crate) fn next_message(&self) -> Option<(SocketAddrV4, Vec<u8>)> {
         let output = self.log.borrow_mut().output();
-        self.sent.set(self.sent.get() + output.as_ref().map_or(0, |(_, bytes)| bytes.len() as u64));
+        self.sent_bytes
+            .set(self.sent_bytes.get() + output.as_ref().map_or(0, |(_, bytes)| bytes.len() as u64));
         output
     }
 
-    /// Whether something was agreed that is not in force here yet.
+    /// Returns whether the log's position has changed since the last call, and wakes those who wait for that.
     pub(crate) fn position_changed(&self) -> bool {
-        let place = self.log.borrow().position();
-        let news = place != self.noticed.replace(place);
-        if news {
+        let position = self.log.borrow().position();
+        let changed = position != self.notified_position.replace(position);
+        if changed {
             self.applied.notify_waiters();
         }
-        news
+        changed
     }
 
-    /// Whom the log may ask and tell, and who stands where, as this one's view of the fleet has it.
-    fn meet(&self, members: &Membership, now: Time) {
+    /// Updates the log's peers and the sidecar statuses from this sidecar's view of the fleet.
+    fn refresh_peers(&self, members: &Membership, now: Time) {
         let report = members.report();
         let mut peers = Vec::new();
-        let mut standing = vec![self.standing_of_own()];
-        let (heard, founding) = (self.heard.borrow(), self.log.borrow().position().bootstrap_id);
-        for row in &report.members {
-            let presence = match row.state {
+        let mut sidecars = vec![self.own_status()];
+        let (statuses, bootstrap_id) = (self.statuses.borrow(), self.log.borrow().position().bootstrap_id);
+        for member in &report.members {
+            let state = match member.state {
                 "alive" | "suspect" => MemberState::Alive,
                 "left" => MemberState::Left,
                 _ => MemberState::Unreachable,
             };
-            if presence == MemberState::Alive
-                && let Ok(address) = row.address.parse()
+            if state == MemberState::Alive
+                && let Ok(address) = member.address.parse()
             {
-                peers.push(Peer { address, near: row.zone == self.zone });
+                peers.push(Peer { address, near: member.zone == self.zone });
             }
-            let known = heard.get(&row.name).and_then(|known| known.stands(row.generation, founding, now));
+            let known = statuses
+                .get(&member.name)
+                .and_then(|known| known.confirmed_state(member.generation, bootstrap_id, now));
             let (index, ready) = known.unwrap_or_default();
-            standing.push(SidecarStatus {
-                name: row.name.clone(),
-                generation: row.generation,
-                zone: row.zone.clone(),
-                tier: row.tier,
-                state: presence,
+            sidecars.push(SidecarStatus {
+                name: member.name.clone(),
+                generation: member.generation,
+                zone: member.zone.clone(),
+                tier: member.tier,
+                state,
                 confirmed_index: index,
                 ready,
             });
         }
-        self.standing.replace(standing);
+        self.sidecars.replace(sidecars);
         self.log.borrow_mut().set_peers(peers);
     }
 
-    fn standing_of_own(&self) -> SidecarStatus {
+    fn own_status(&self) -> SidecarStatus {
         SidecarStatus {
             name: self.name.clone(),
             generation: self.generation,
             zone: self.zone.clone(),
             tier: self.tier,
             state: MemberState::Alive,
-            confirmed_index: self.confirmed(),
+            confirmed_index: self.own_confirmed_index(),
             ready: self.is_ready(),
         }
     }
 
-    /// The entry up to which the present founding's plan is in force here.
-    fn confirmed(&self) -> u64 {
-        let (in_force, founding) = (self.in_force.get(), self.log.borrow().position().bootstrap_id);
-        if in_force.bootstrap_id == founding { in_force.index } else { 0 }
+    /// Index of the last entry of the current bootstrap's log that is in force at this sidecar.
+    fn own_confirmed_index(&self) -> u64 {
+        let (in_force, bootstrap_id) = (self.in_force.get(), self.log.borrow().position().bootstrap_id);
+        if in_force.bootstrap_id == bootstrap_id { in_force.index } else { 0 }
     }
 
     fn is_ready(&self) -> bool {
-        self.ready.borrow().as_ref().is_none_or(|ready| ready())
+        self.readiness.borrow().as_ref().is_none_or(|readiness| readiness())
     }
 
-    fn tell(&self, now: Time) {
-        self.next_tell.set(now + STATUS_INTERVAL.mul_f64(0.8 + 0.4 * self.rng.borrow_mut().f64()));
-        let told = StatusReport {
+    fn send_status(&self, now: Time) {
+        self.next_status_at.set(now + STATUS_INTERVAL.mul_f64(0.8 + 0.4 * self.rng.borrow_mut().f64()));
+        let report = StatusReport {
             name: self.name.clone(),
             generation: self.generation,
-            founding: self.in_force.get().bootstrap_id,
+            bootstrap_id: self.in_force.get().bootstrap_id,
             index: self.in_force.get().index,
             revision: self.revision.get(),
             ready: self.is_ready(),
-            tries: self.throttle.borrow_mut().take_counts(),
+            attempt_counts: self.throttle.borrow_mut().take_counts(),
         };
-        let bytes = postcard::to_stdvec(&told).unwrap_or_default();
+        let bytes = postcard::to_stdvec(&report).unwrap_or_default();
         self.log.borrow_mut().send_out_of_band(&bytes);
         if self.log.borrow().config().voter_index().is_some() {
-            self.heard(told);
+            self.record_status(report);
         }
     }
 
-    /// What only the leader says.
-    fn lead(&self, now: Time) {
+    /// Runs the controller, if this sidecar leads, and proposes its next command.
+    fn run_controller(&self, now: Time) {
         if !self.log.borrow().leads(now) {
             return;
         }
         {
-            let (heard, founding) = (self.heard.borrow(), self.log.borrow().position().bootstrap_id);
-            for it in self.standing.borrow_mut().iter_mut() {
-                if it.name == self.name {
-                    *it = self.standing_of_own();
-                } else if let Some(stands) =
-                    heard.get(&it.name).and_then(|known| known.stands(it.generation, founding, now))
+            let (statuses, bootstrap_id) =
+                (self.statuses.borrow(), self.log.borrow().position().bootstrap_id);
+            for sidecar in self.sidecars.borrow_mut().iter_mut() {
+                if sidecar.name == self.name {
+                    *sidecar = self.own_status();
+                } else if let Some(state) = statuses
+                    .get(&sidecar.name)
+                    .and_then(|known| known.confirmed_state(sidecar.generation, bootstrap_id, now))
                 {
-                    (it.confirmed_index, it.ready) = stands;
+                    (sidecar.confirmed_index, sidecar.ready) = state;
                 }
             }
         }
         let mut log = self.log.borrow_mut();
-        let word = self.controller.borrow_mut().next_command(log.machine(), now, &self.standing.borrow());
-        let Some(word) = word else { return };
-        let id = Controller::command_id(&word, log.position().index);
-        let (last, at) = self.said.get();
+        let command = self.controller.borrow_mut().next_command(log.machine(), now, &self.sidecars.borrow());
+        let Some(command) = command else { return };
+        let id = Controller::command_id(&command, log.position().index);
+        let (last, at) = self.last_proposal.get();
         if last == id.0 && now < at + STATUS_INTERVAL {
             return;
         }
-        self.said.set((id.0, now));
-        let said = CommandEntry {
+        self.last_proposal.set((id.0, now));
+        let entry = CommandEntry {
             id,
             proposed_by: self.name.clone(),
             reason: "the leader's own".to_owned(),
             unix_ms: self.platform.unix().as_millis() as u64,
             expected_revision: None,
-            command: word,
+            command,
         };
-        // One that can't be said now is thought of again.
-        let _ = log.propose(now, said.encode(), now + STATUS_INTERVAL);
+        // If the log can't take it now, the controller proposes it again in a later run.
+        let _ = log.propose(now, entry.encode(), now + STATUS_INTERVAL);
     }
 
-    /// Says a word and waits for what comes of it.
+    /// Proposes a command and waits for its outcome. A command with the `id` of an earlier one is not applied again: its
+    /// outcome is that of the first.
     pub async fn propose(
         &self,
-        word: Command,
+        command: Command,
         reason: &str,
-        expects: Option<u32>,
+        expected_revision: Option<u32>,
         id: Option<u64>,
     ) -> Result<CommandOutcome, CommandError> {
         let id = CommandId(id.unwrap_or_else(|| self.rng.borrow_mut().u64(1..)));
-        let said = CommandEntry {
+        let entry = CommandEntry {
             id,
             proposed_by: self.name.clone(),
-            reason: reason.chars().take(200).collect(),
+            reason: reason.chars().take(MAX_REASON_CHARS).collect(),
             unix_ms: self.platform.unix().as_millis() as u64,
-            expected_revision: expects,
-            command: word,
+            expected_revision,
+            command,
         };
         let until = self.platform.now() + COMMAND_TIMEOUT;
         let now = self.now();
         if self.log.borrow().machine().outcome(id).is_none() {
-            self.log.borrow_mut().propose(now, said.encode(), now + COMMAND_TIMEOUT)?;
+            self.log.borrow_mut().propose(now, entry.encode(), now + COMMAND_TIMEOUT)?;
             self.wake.notify_one();
         }
         loop {
             let applied = self.applied.notified();
-            if let Some(answer) = self.log.borrow().machine().outcome(id) {
-                return match answer {
+            if let Some(outcome) = self.log.borrow().machine().outcome(id) {
+                return match outcome {
                     CommandOutcome::Rejected(error) => Err(error.clone().into()),
-                    taken => Ok(taken.clone()),
+                    applied => Ok(applied.clone()),
                 };
             }
             if self.platform.timeout_at(until, applied).await.is_err() {
@@ -438,47 +457,47 @@
         }
     }
 
-    /// Begins the log anew, from the newest copy that is reached.
+    /// Bootstraps the log from the newest copy that can be reached, and returns its index.
     pub async fn bootstrap(&self) -> Result<u64, CommandError> {
         self.log.borrow_mut().bootstrap(self.now())?;
         self.wake.notify_one();
         let until = self.platform.now() + BOOTSTRAP_TIMEOUT;
         while self.platform.now() < until {
             self.platform.sleep(Duration::from_millis(20)).await;
-            if let Some(founded) = self.log.borrow_mut().bootstrap_result() {
-                return Ok(founded?.index);
+            if let Some(position) = self.log.borrow_mut().bootstrap_result() {
+                return Ok(position?.index);
             }
         }
         Err(ConsensusError::Unknown(BOOTSTRAP_TIMEOUT).into())
     }
 
-    /// Bytes that it has sent.
+    /// Bytes of the log's messages that this sidecar has sent.
     pub fn sent_bytes(&self) -> u64 {
-        self.sent.get()
+        self.sent_bytes.get()
     }
 
-    /// Whether it knows, as a keeper, who leads.
+    /// Returns whether this sidecar is a voter that knows the leader.
     pub fn has_leader(&self) -> bool {
         self.log.borrow().leader(self.now()).is_some()
     }
 
-    /// The tier of this sidecar, and so of the backend servers that it sends to.
+    /// The tier of this sidecar, and so of the endpoints that it sends to.
     pub fn tier(&self) -> u8 {
         self.tier
     }
 
-    /// This sidecar as what a permit is for: itself, its zone and its tier.
+    /// This sidecar as the target of a permit, with its zone and tier.
     pub fn own_permit_target(&self) -> (PermitTarget, String, u8) {
-        let what = PermitTarget::Sidecar { name: self.name.clone(), generation: self.generation };
-        (what, self.zone.clone(), self.tier)
+        let target = PermitTarget::Sidecar { name: self.name.clone(), generation: self.generation };
+        (target, self.zone.clone(), self.tier)
     }
 
-    /// Where clock and tasks come from.
+    /// The platform that provides clock and tasks.
     pub fn platform(&self) -> &P {
         &self.platform
     }
 
-    /// Waits until a permit is given, or is no more.
+    /// Waits until a permit is granted; returns `false` if it was returned instead.
     pub async fn wait_for_permit(&self, permit: u32) -> bool {
         loop {
             let applied = self.applied.notified();
@@ -491,7 +510,7 @@
         }
     }
 
-    /// Waits until a plan is known, or not any longer.
+    /// Waits until a plan is known, for the initial wait at most.
     pub async fn wait_for_plan(&self) {
         let until = self.platform.now() + self.wait;
         while self.log.borrow().position().index == 0 {
@@ -502,14 +521,14 @@
         }
     }
 
-    /// The revision that this sidecar goes by, with its number.
+    /// Number and content of the revision that applies to this sidecar.
     pub fn content(&self) -> (u32, Rc<RevisionContent>) {
         let log = self.log.borrow();
         let revision = log.machine().revision_for(&self.name);
         (revision, log.machine().content(revision))
     }
 
-    /// Puts what the revision allows into settings: never more than they allow themselves.
+    /// Lowers the settings' limits to those of the revision; a revision never raises them.
     pub(crate) fn apply_to_settings(&self, settings: &mut Settings) {
         let (_, content) = self.content();
         if let Some(attempts) = content.max_attempts {
@@ -517,7 +536,7 @@
         }
     }
 
-    /// What becomes of a backend server by the plan.
+    /// How the plan changes the weight of an endpoint.
     pub fn weight_adjustment(&self, name: &str, zone: &str, group: usize) -> WeightAdjustment {
         let log = self.log.borrow();
         let plan = log.machine();
@@ -527,11 +546,12 @@
         plan.content(plan.revision_for(&self.name)).weight_adjustment(name, zone, group)
     }
 
-    /// All that is agreed up to now is in force here: settings, list and policies.
+    /// Records that everything agreed so far is in force at this sidecar (settings, endpoint list, retry rules), and reports
+    /// it to the voters.
     pub fn mark_in_force(&self) {
         let now = self.now();
         let (revision, content) = self.content();
-        let (place, storm) = {
+        let (position, storm) = {
             let log = self.log.borrow();
             (log.position(), log.machine().storm().0)
         };
@@ -539,85 +559,90 @@
         if self.storm.replace(storm) != storm {
             (self.listener)(PlanEvent::RetryStorm(storm));
         }
-        let before = self.in_force.replace(place);
+        let before = self.in_force.replace(position);
         if self.revision.replace(revision) != revision {
-            (self.listener)(PlanEvent::InForce { revision, index: place.index });
+            (self.listener)(PlanEvent::InForce { revision, index: position.index });
         }
-        if before != place {
-            self.next_tell.set(now);
+        if before != position {
+            self.next_status_at.set(now);
             self.wake.notify_one();
         }
     }
 
-    /// Whether an attempt may go out by the policies on retries.
+    /// Returns whether the plan's retry rules allow an attempt. `share` returns this sidecar's share of the retry limit.
     pub(crate) fn allow_attempt(
         &self,
         request: &Request,
         first: bool,
         after: Option<RetryCause>,
-        part: impl FnOnce() -> f64,
+        share: impl FnOnce() -> f64,
     ) -> bool {
         let class = std::str::from_utf8(request.class()).unwrap_or_default();
-        let caller = request.headers.single("x-caller").ok().flatten();
-        let tenant = caller.and_then(|caller| std::str::from_utf8(caller).ok());
-        self.allow_attempt_of(class, tenant, first, after, part)
+        let tenant = request.headers.single("x-caller").ok().flatten();
+        let tenant = tenant.and_then(|tenant| std::str::from_utf8(tenant).ok());
+        self.allow_attempt_of(class, tenant, first, after, share)
     }
 
-    /// The same, of a request by its class and tenant.
+    /// As [`PlanDriver::allow_attempt`], for a request given by its class and tenant.
     pub fn allow_attempt_of(
         &self,
         class: &str,
         tenant: Option<&str>,
         first: bool,
         after: Option<RetryCause>,
-        part: impl FnOnce() -> f64,
+        share: impl FnOnce() -> f64,
     ) -> bool {
-        let wanted = RetryAttributes { tenant, class, tier: self.tier, zone: &self.zone, after };
+        let attributes = RetryAttributes { tenant, class, tier: self.tier, zone: &self.zone, after };
         let mut throttle = self.throttle.borrow_mut();
         if first {
-            throttle.record_first_attempt(&wanted);
+            throttle.record_first_attempt(&attributes);
             return true;
         }
-        let tried = throttle.try_retry(&wanted, part(), self.now());
-        let barred = matches!(tried, RetryDecision::Denied(_));
-        self.barred.set(self.barred.get() + u64::from(barred));
-        !barred
+        let decision = throttle.try_retry(&attributes, share(), self.now());
+        let denied = matches!(decision, RetryDecision::Denied(_));
+        self.denied.set(self.denied.get() + u64::from(denied));
+        !denied
     }
 
-    /// Refuses a text that leaves too few of the backend servers that this door knows.
+    /// Rejects a revision that would leave too few of the endpoints that this sidecar lists.
     pub fn check_endpoints_left(&self, text: &str, listed: &ListedEndpoints) -> Result<(), CommandError> {
         let content = RevisionContent::parse(text, "revision")
             .map_err(|error| PlanError::InvalidContent(error.to_string()))?;
-        if !content.retry_rules.is_empty() && !self.divides {
+        if !content.retry_rules.is_empty() && !self.retries_limited {
             let reason = "retries: needs [[budget.whole]] with use = \"retries\" in the operator's file";
             return Err(PlanError::InvalidContent(reason.to_owned()).into());
         }
         let ready = listed.iter().filter(|(.., ready)| *ready);
-        let of = ready.clone().count() as u32;
+        let total = ready.clone().count() as u32;
         let left = ready.filter(|(name, zone, group, _)| {
             content.weight_adjustment(name, zone, *group) != WeightAdjustment::Excluded
         });
-        enough(left.count() as u32, of, content.min_endpoint_share, "server")
+        check_min_share(left.count() as u32, total, content.min_endpoint_share, "server")
     }
 
-    /// Refuses to bar one more backend server where too few would be left.
+    /// Rejects the drain of one more endpoint if too few would be left.
     pub fn check_drain(&self, name: &str, listed: &ListedEndpoints) -> Result<(), CommandError> {
         let (_, content) = self.content();
-        let of = listed.len() as u32;
-        let stays = |(other, zone, group, ready): &&(String, String, usize, bool)| {
+        let total = listed.len() as u32;
+        let remains = |(other, zone, group, ready): &&(String, String, usize, bool)| {
             *ready
                 && other != name
                 && self.weight_adjustment(other, zone, *group) != WeightAdjustment::Excluded
         };
-        enough(listed.iter().filter(stays).count() as u32, of, content.min_endpoint_share, "drain")
+        check_min_share(
+            listed.iter().filter(remains).count() as u32,
+            total,
+            content.min_endpoint_share,
+            "drain",
+        )
     }
 
-    /// Looks at the log.
-    pub fn with_log<T>(&self, what: impl FnOnce(&Log<Plan>) -> T) -> T {
-        what(&self.log.borrow())
+    /// Calls a function with the log.
+    pub fn with_log<T>(&self, read: impl FnOnce(&Log<Plan>) -> T) -> T {
+        read(&self.log.borrow())
     }
 
-    /// A revision's text.
+    /// The text of a revision.
     pub fn revision_text(&self, revision: u32) -> Result<String, CommandError> {
         let log = self.log.borrow();
         let plan = log.machine();
@@ -630,34 +655,38 @@
         Ok(plan.text(revision).ok_or_else(not_kept)?.to_owned())
     }
 
-    /// The entry up to which the plan is in force here, and the revision.
+    /// Index of the last log entry in force at this sidecar, and the revision in force.
     pub fn in_force(&self) -> (u64, u32) {
         (self.in_force.get().index, self.revision.get())
     }
 
-    /// Where the plan stands, for operators.
+    /// The state of the plan as this sidecar knows it, as JSON for operators.
     pub fn status_json(&self) -> Value {
         let (log, now) = (self.log.borrow(), self.now());
         let (plan, unix) = (log.machine(), self.platform.unix().as_millis() as u64);
         let status: Status = log.status(now);
-        let standing = self.standing.borrow();
-        let heard = self.heard.borrow();
-        // Only keepers hear where all stand.
-        let (keeper, founding) = (log.config().voter_index().is_some(), log.position().bootstrap_id);
+        let sidecars = self.sidecars.borrow();
+        let statuses = self.statuses.borrow();
+        // Only voters receive the status reports of the others.
+        let (is_voter, bootstrap_id) = (log.config().voter_index().is_some(), log.position().bootstrap_id);
         let mut by_revision: BTreeMap<u32, usize> = BTreeMap::new();
         let mut behind = Vec::new();
-        if keeper {
-            for it in standing.iter().filter(|it| it.state != MemberState::Left) {
-                let known = heard.get(&it.name).filter(|known| known.told.generation == it.generation);
+        if is_voter {
+            for sidecar in sidecars.iter().filter(|sidecar| sidecar.state != MemberState::Left) {
+                let known =
+                    statuses.get(&sidecar.name).filter(|known| known.report.generation == sidecar.generation);
                 if let Some(known) = known {
-                    *by_revision.entry(known.told.revision).or_default() += 1;
+                    *by_revision.entry(known.report.revision).or_default() += 1;
                 }
-                let told = known.map_or(0, |known| known.told.confirms(founding));
-                if told < status.index {
+                let confirmed = known.map_or(0, |known| known.report.confirmed_index(bootstrap_id));
+                if confirmed < status.index {
                     let state =
-                        if it.state == MemberState::Alive { "there" } else { "gone, may still serve" };
-                    let heard_ms = known.map(|known| now.saturating_sub(known.at).as_millis() as u64);
-                    behind.push(json!({"name": it.name, "at": told, "state": state, "heard_ms": heard_ms}));
+                        if sidecar.state == MemberState::Alive { "there" } else { "gone, may still serve" };
+                    let heard_ms =
+                        known.map(|known| now.saturating_sub(known.received_at).as_millis() as u64);
+                    behind.push(
+                        json!({"name": sidecar.name, "at": confirmed, "state": state, "heard_ms": heard_ms}),
+                    );
                 }
             }
         }
@@ -673,25 +702,26 @@
             .permits()
             .iter()
             .map(|(&number, it)| {
-                let up: Vec<&str> = match it.state {
-                    PermitState::Granted { .. } if keeper && it.target.is_endpoint() => {
-                        let held = self.controller.borrow().unconfirmed_sidecars(plan, number, &standing);
-                        held.iter()
-                            .filter(|held| {
-                                heard
-                                    .get(&held.name)
-                                    .is_none_or(|known| known.told.confirms(founding) < status.index)
+                let held_up_by: Vec<&str> = match it.state {
+                    PermitState::Granted { .. } if is_voter && it.target.is_endpoint() => {
+                        let unconfirmed =
+                            self.controller.borrow().unconfirmed_sidecars(plan, number, &sidecars);
+                        unconfirmed.iter()
+                            .filter(|sidecar| {
+                                statuses
+                                    .get(&sidecar.name)
+                                    .is_none_or(|known| known.report.confirmed_index(bootstrap_id) < status.index)
                             })
-                            .map(|held| held.name.as_str())
+                            .map(|sidecar| sidecar.name.as_str())
                             .take(16)
                             .collect::<Vec<&str>>()
                     }
                     _ => Vec::new(),
                 };
-                let waits = it.blocked_by.as_ref().map(ToString::to_string);
+                let waits_for = it.blocked_by.as_ref().map(ToString::to_string);
                 json!({"number": number, "name": it.target.name(), "server": it.target.is_endpoint(), "zone": it.zone,
                     "tier": it.tier, "by": it.proposed_by, "state": it.state_text(), "overdue": unix > it.overdue_at_ms,
-                    "waits_for": waits, "held_up_by": up, "since": it.granted_index()})
+                    "waits_for": waits_for, "held_up_by": held_up_by, "since": it.granted_index()})
             })
             .collect();
         let release = plan.release().map(|it| {
@@ -701,17 +731,17 @@
         json!({
             "log": status, "revision": self.revision.get(), "in_force_to": self.in_force.get().index,
             "current": plan.current(), "revisions": revisions, "permits": permits, "release": release,
-            "halted_by": plan.halted_by(), "storm": plan.storm().0, "retries_barred": self.barred.get(),
+            "halted_by": plan.halted_by(), "storm": plan.storm().0, "retries_barred": self.denied.get(),
             "unread_words": plan.fault_counts().1, "invariants_broken": plan.fault_counts().0,
-            "keeper": keeper, "at_revision": by_revision, "behind": behind,
+            "keeper": is_voter, "at_revision": by_revision, "behind": behind,
         })
     }
 }
 
-fn enough(left: u32, of: u32, keep: f64, field: &str) -> Result<(), CommandError> {
-    if f64::from(left) < keep * f64::from(of) || left == 0 && of > 0 {
-        let (field, keep) = (field.to_owned(), keep.to_string());
-        return Err(PlanError::TooFewLeft { field, left, total: of, min_share: keep }.into());
+fn check_min_share(left: u32, total: u32, min_share: f64, field: &str) -> Result<(), CommandError> {
+    if f64::from(left) < min_share * f64::from(total) || left == 0 && total > 0 {
+        let (field, min_share) = (field.to_owned(), min_share.to_string());
+        return Err(PlanError::TooFewLeft { field, left, total, min_share }.into());
     }
     Ok(())
 }
--- a/crates/sidecar/src/plan_driver/tests.rs
+++ b/crates/sidecar/src/plan_driver/tests.rs
@@ -1,35 +1,35 @@
-//! Tests of `accord` that mean its private state.
+//! Tests of private parts of `plan_driver`.
 
 use super::*;
 
-fn told(generation: u64, founding: u64, index: u64) -> StatusReport {
+fn report(generation: u64, bootstrap_id: u64, index: u64) -> StatusReport {
     let name = "m".to_owned();
-    StatusReport { name, generation, founding, index, revision: 0, ready: true, tries: (0, 0) }
+    StatusReport { name, generation, bootstrap_id, index, revision: 0, ready: true, attempt_counts: (0, 0) }
 }
 
 #[test]
-fn what_was_confirmed_before_a_founding_confirms_nothing_after_it() {
-    // The copy that was founded from had fewer entries than this one had confirmed.
-    let (before, after) = (told(1, 1, 500), told(1, 2, 400));
-    assert!(after.place() > before.place(), "the lower number is the later word");
-    assert_eq!((before.confirms(2), after.confirms(2)), (0, 400));
-    assert!(told(2, 1, 1).place() > after.place(), "a later start is later whatever it has read");
+fn confirmations_from_before_a_bootstrap_do_not_count_after_it() {
+    // The log was bootstrapped from a copy with fewer entries than this sidecar had confirmed.
+    let (before, after) = (report(1, 1, 500), report(1, 2, 400));
+    assert!(after.recency() > before.recency(), "the report with the lower index is the newer one");
+    assert_eq!((before.confirmed_index(2), after.confirmed_index(2)), (0, 400));
+    assert!(report(2, 1, 1).recency() > after.recency(), "a later generation is newer at any index");
 }
 
 #[test]
-fn what_goes_to_the_voters_has_these_bytes() {
-    let told = StatusReport {
+fn status_report_has_a_fixed_encoding() {
+    let report = StatusReport {
         name: "m".to_owned(),
         generation: 300,
-        founding: 2,
+        bootstrap_id: 2,
         index: 5,
         revision: 7,
         ready: true,
-        tries: (1, 200),
+        attempt_counts: (1, 200),
     };
-    // Name, generation, founding, index, revision, ready, tries: sidecars of two versions read one another.
+    // Sidecars of different versions exchange these bytes: name, generation, bootstrap id, index, revision, ready, attempts.
     let bytes = [1, b'm', 0xac, 0x02, 2, 5, 7, 1, 1, 0xc8, 0x01];
-    assert_eq!(postcard::to_stdvec(&told).expect("it has a form"), bytes);
-    let read: StatusReport = postcard::from_bytes(&bytes).expect("it is read");
-    assert_eq!(format!("{read:?}"), format!("{told:?}"));
+    assert_eq!(postcard::to_stdvec(&report).expect("report is encodable"), bytes);
+    let decoded: StatusReport = postcard::from_bytes(&bytes).expect("bytes decode");
+    assert_eq!(format!("{decoded:?}"), format!("{report:?}"));
 }
