--- a/crates/sidecar/src/ops_commands.rs
+++ b/crates/sidecar/src/ops_commands.rs
@@ -54,31 +54,35 @@
     String::from_utf8_lossy(&decoded).into_owned()
 }
 
-fn bad_call(field: &str, reason: &str) -> (Status, Value) {
+/// The response to a call with a missing or invalid argument.
+fn invalid_call(field: &str, reason: &str) -> (Status, Value) {
     let remedy = "mend the call as the text says; docs/fleet-plan.md lists the calls";
     (Status::BadRequest, json!({"code": "door.call", "text": format!("{field}: {reason}"), "do": remedy}))
 }
 
+/// Parses an argument of the query, if it is present.
 fn optional<T: std::str::FromStr>(query: &Query, field: &str) -> Result<Option<T>, (Status, Value)> {
     match query.get(field) {
         None => Ok(None),
-        Some(text) => text.parse().map(Some).map_err(|_| bad_call(field, "is no number that fits")),
+        Some(text) => text.parse().map(Some).map_err(|_| invalid_call(field, "is no number that fits")),
     }
 }
 
+/// Parses an argument that must be present.
 fn required<T: std::str::FromStr>(query: &Query, field: &str) -> Result<T, (Status, Value)> {
-    optional(query, field)?.ok_or_else(|| bad_call(field, "is missing"))
+    optional(query, field)?.ok_or_else(|| invalid_call(field, "is missing"))
 }
 
-fn error_response(failure: &CommandError) -> (Status, Value) {
-    let status = match failure {
-        failure if failure.is_outcome_unknown() => Status::GatewayTimeout,
+/// The response to a command that was not applied, or whose outcome is unknown.
+fn error_response(error: &CommandError) -> (Status, Value) {
+    let status = match error {
+        error if error.is_outcome_unknown() => Status::GatewayTimeout,
         CommandError::Log(ConsensusError::NotBootstrapped | ConsensusError::TooManyProposals(_)) => {
             Status::Unavailable
         }
         _ => Status::Conflict,
     };
-    (status, failure.json())
+    (status, error.json())
 }
 
 /// Handles a call under `/ops/plan` and returns the status and body of the response.
@@ -121,35 +125,38 @@
     request: &Request,
 ) -> Result<Value, (Status, Value)> {
     let query = parse_query(request);
-    let text = || String::from_utf8(request.body.to_vec()).map_err(|_| bad_call("body", "is no UTF-8"));
+    let text = || String::from_utf8(request.body.to_vec()).map_err(|_| invalid_call("body", "is no UTF-8"));
     let permit = |query: &Query| required::<u32>(query, "permit");
     let command = match path {
         b"" => return Ok(plan.status_json()),
         b"/revision" => {
             let number = required(&query, "number")?;
-            return plan.revision_text(number).map(Value::String).map_err(|failure| error_response(&failure));
+            return plan.revision_text(number).map(Value::String).map_err(|error| error_response(&error));
         }
         b"/refound" => {
-            let index = plan.bootstrap().await.map_err(|failure| error_response(&failure))?;
+            let index = plan.bootstrap().await.map_err(|error| error_response(&error))?;
             return Ok(json!({"founded": true, "index": index}));
         }
         b"/read" => Command::Noop,
         b"/propose" | b"/release" => {
             let text = text()?;
-            plan.check_endpoints_left(&text, &directory.listed())
-                .map_err(|failure| error_response(&failure))?;
+            plan.check_endpoints_left(&text, &directory.listed()).map_err(|error| error_response(&error))?;
             match query.get("waves") {
                 None if path == b"/propose" => Command::Propose { text },
                 None => {
-                    return Err(bad_call("waves", "is missing: shares in thousandths, such as 50,250,1000"));
+                    return Err(invalid_call(
+                        "waves",
+                        "is missing: shares in thousandths, such as 50,250,1000",
+                    ));
                 }
                 Some(_) if path == b"/propose" => {
-                    return Err(bad_call("waves", "belongs to /ops/plan/release"));
+                    return Err(invalid_call("waves", "belongs to /ops/plan/release"));
                 }
                 Some(waves) => {
                     let waves: Result<Vec<u16>, _> =
                         waves.split(',').map(|wave| wave.trim().parse()).collect();
-                    let waves = waves.map_err(|_| bad_call("waves", "wants whole numbers with commas"))?;
+                    let waves =
+                        waves.map_err(|_| invalid_call("waves", "wants whole numbers with commas"))?;
                     Command::Release { text, waves }
                 }
             }
@@ -157,9 +164,8 @@
         b"/rollback" => {
             let to = required(&query, "to")?;
             // A revision that was valid when proposed may leave too few of the present endpoints.
-            let text = plan.revision_text(to).map_err(|failure| error_response(&failure))?;
-            plan.check_endpoints_left(&text, &directory.listed())
-                .map_err(|failure| error_response(&failure))?;
+            let text = plan.revision_text(to).map_err(|error| error_response(&error))?;
+            plan.check_endpoints_left(&text, &directory.listed()).map_err(|error| error_response(&error))?;
             Command::RollBackTo { revision: to }
         }
         b"/pin" => {
@@ -173,9 +179,9 @@
             let listed = directory.listed();
             let endpoint = listed.iter().find(|(listed, ..)| *listed == name);
             let Some((_, zone, ..)) = endpoint else {
-                return Err(bad_call("server", "no backend server of that name is listed here"));
+                return Err(invalid_call("server", "no backend server of that name is listed here"));
             };
-            plan.check_drain(&name, &listed).map_err(|failure| error_response(&failure))?;
+            plan.check_drain(&name, &listed).map_err(|error| error_response(&error))?;
             let (zone, tier) = (zone.clone(), plan.tier());
             Command::RequestPermit {
                 target: PermitTarget::Endpoint(name),
@@ -207,6 +213,6 @@
             Ok(json!({"taken": true, "index": index, "number": number}))
         }
         Ok(CommandOutcome::Rejected(error)) => Err(error_response(&error.into())),
-        Err(failure) => Err(error_response(&failure)),
+        Err(error) => Err(error_response(&error)),
     }
 }
--- a/crates/sidecar/tests/budget.rs
+++ b/crates/sidecar/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets on the real program: what each use of a whole refuses, by what backend servers and discovery in fact received.
+//! Budgets of the real program: each kind of limit is checked against what stub endpoints and discovery received.
 #![allow(clippy::disallowed_methods)]
 mod common;
 
@@ -8,110 +8,119 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_tenants_requests_beyond_its_whole_are_denied_at_once_and_others_are_not() {
+fn a_tenants_requests_beyond_its_limit_are_rejected_at_once_and_those_of_others_are_not() {
     let (at, received) = backend(Duration::ZERO, "", false);
-    let wholes = "[[budget.whole]]\nuse = \"tenant\"\ntenant = \"acme\"\nrate = 10\nburst = 10\n";
-    let sidecar = Sidecar::start(&[at], discovery(vec![at]), false, wholes).ready();
-    let began = Instant::now();
-    let mut ends: Vec<(u16, bool)> = Vec::new();
-    while ends.len() < 60 {
-        ends.extend(sidecar.at_once(6, Some("acme")));
+    let limits = "[[budget.whole]]\nuse = \"tenant\"\ntenant = \"acme\"\nrate = 10\nburst = 10\n";
+    let sidecar = Sidecar::start(&[at], discovery(vec![at]), false, limits).ready();
+    let started = Instant::now();
+    let mut responses: Vec<(u16, bool)> = Vec::new();
+    while responses.len() < 60 {
+        responses.extend(sidecar.at_once(6, Some("acme")));
     }
-    let most = 10.0 + 10.0 * began.elapsed().as_secs_f64() + 1.0;
-    let served = ends.iter().filter(|end| end.0 == 200).count();
-    assert!(served as f64 <= most, "{served} of {most}");
-    assert!(ends.iter().all(|end| *end == (200, false) || *end == (503, true)), "{ends:?}");
+    let max = 10.0 + 10.0 * started.elapsed().as_secs_f64() + 1.0;
+    let served = responses.iter().filter(|response| response.0 == 200).count();
+    assert!(served as f64 <= max, "{served} served, at most {max} allowed");
+    assert!(
+        responses.iter().all(|response| *response == (200, false) || *response == (503, true)),
+        "{responses:?}"
+    );
     assert_eq!(received.of(|r| &r.requests), served as u64);
     assert_eq!(sidecar.counter("budget_refused"), 60 - served as u64);
-    assert!(sidecar.at_once(12, Some("other")).iter().all(|end| end.0 == 200), "another tenant's are served");
+    assert!(
+        sidecar.at_once(12, Some("other")).iter().all(|response| response.0 == 200),
+        "another tenant's requests are served"
+    );
 }
 
 #[test]
-fn no_more_requests_are_open_at_once_than_the_level() {
+fn open_requests_keep_to_the_concurrency_limit() {
     let (at, received) = backend(Duration::from_millis(200), "", false);
-    let wholes = "[[budget.whole]]\nuse = \"open\"\nlevel = 3\n";
-    let sidecar = Sidecar::start(&[at], discovery(vec![at]), false, wholes).ready();
-    let ends: Vec<(u16, bool)> = (0..4).flat_map(|_| sidecar.at_once(10, None)).collect();
-    assert!(received.of(|r| &r.most) <= 3, "{} at once", received.of(|r| &r.most));
-    let served = ends.iter().filter(|end| end.0 == 200).count();
+    let limits = "[[budget.whole]]\nuse = \"open\"\nlevel = 3\n";
+    let sidecar = Sidecar::start(&[at], discovery(vec![at]), false, limits).ready();
+    let responses: Vec<(u16, bool)> = (0..4).flat_map(|_| sidecar.at_once(10, None)).collect();
+    assert!(received.of(|r| &r.most) <= 3, "{} open at once", received.of(|r| &r.most));
+    let served = responses.iter().filter(|response| response.0 == 200).count();
     assert!((4..40).contains(&served), "{served} served");
-    assert!(ends.iter().all(|end| *end == (200, false) || *end == (503, true)), "{ends:?}");
+    assert!(
+        responses.iter().all(|response| *response == (200, false) || *response == (503, true)),
+        "{responses:?}"
+    );
 }
 
 #[test]
-fn attempts_beyond_the_first_keep_to_their_whole() {
+fn retries_keep_to_their_limit() {
     let attempts = |rate: f64| {
         let backends = [backend(Duration::ZERO, "", true), backend(Duration::ZERO, "", true)];
         let all: Vec<SocketAddr> = backends.iter().map(|(at, _)| *at).collect();
-        let wholes = format!("[[budget.whole]]\nuse = \"retries\"\nrate = {rate}\n");
-        let sidecar = Sidecar::start(&all, discovery(all.clone()), false, &wholes).ready();
-        let began = Instant::now();
+        let limits = format!("[[budget.whole]]\nuse = \"retries\"\nrate = {rate}\n");
+        let sidecar = Sidecar::start(&all, discovery(all.clone()), false, &limits).ready();
+        let started = Instant::now();
         for i in 0..60 {
             sidecar.request(&format!("/plan/{i}"), None);
         }
         let extra = sidecar.counter("dispatches") - sidecar.counter("sessions");
         let sent: u64 = backends.iter().map(|(_, received)| received.of(|r| &r.requests)).sum();
-        (extra, sidecar.counter("retries_barred"), sent, began.elapsed())
+        (extra, sidecar.counter("retries_barred"), sent, started.elapsed())
     };
-    let (many, barred, ..) = attempts(1000.0);
-    assert!(many >= 8 && barred == 0, "{many} tried again where there is room");
-    let (dispatched, barred, sent, took) = attempts(1.0);
-    let had = 60 + dispatched - barred;
-    assert!(barred >= 3, "{barred} barred of {dispatched}");
-    assert!(sent <= had, "{sent} sent of {had}");
+    let (many, denied, ..) = attempts(1000.0);
+    assert!(many >= 8 && denied == 0, "{many} retries below the limit, {denied} denied");
+    let (dispatched, denied, sent, elapsed) = attempts(1.0);
+    let allowed = 60 + dispatched - denied;
+    assert!(denied >= 3, "{denied} denied of {dispatched} retries");
+    assert!(sent <= allowed, "{sent} attempts received, at most {allowed} allowed");
     assert!(
-        (dispatched - barred) as f64 <= 2.0 + took.as_secs_f64(),
-        "{dispatched} less {barred} in {took:?}"
+        (dispatched - denied) as f64 <= 2.0 + elapsed.as_secs_f64(),
+        "{dispatched} retries, {denied} of them denied, in {elapsed:?}"
     );
 }
 
 #[test]
-fn new_connections_wait_for_their_turn() {
+fn new_connections_keep_to_their_limit() {
     let (at, received) = backend(Duration::ZERO, "Connection: close\r\n", false);
-    let wholes = "[[budget.whole]]\nuse = \"connections\"\nrate = 8\nburst = 8\n";
-    let sidecar = Sidecar::start(&[at], discovery(vec![at]), false, wholes).ready();
-    let (began, before) = (Instant::now(), received.of(|r| &r.connections));
+    let limits = "[[budget.whole]]\nuse = \"connections\"\nrate = 8\nburst = 8\n";
+    let sidecar = Sidecar::start(&[at], discovery(vec![at]), false, limits).ready();
+    let (started, before) = (Instant::now(), received.of(|r| &r.connections));
     for _ in 0..3 {
         sidecar.at_once(12, None);
     }
-    let made = received.of(|r| &r.connections) - before;
-    let most = 8.0 + 8.0 * began.elapsed().as_secs_f64() + 1.0;
-    assert!(made as f64 <= most && made >= 4, "{made} made, {most} at most");
+    let opened = received.of(|r| &r.connections) - before;
+    let max = 8.0 + 8.0 * started.elapsed().as_secs_f64() + 1.0;
+    assert!(opened as f64 <= max && opened >= 4, "{opened} connections opened, {max} at most");
 }
 
 #[test]
-fn probes_keep_to_their_whole() {
+fn probes_keep_to_their_limit() {
     let probes = |rate: f64| {
         let (at, received) = backend(Duration::ZERO, "", false);
-        let wholes = format!("[[budget.whole]]\nuse = \"probes\"\nrate = {rate}\n");
-        let sidecar = Sidecar::start(&[at], discovery(vec![at]), true, &wholes).ready();
-        let began = Instant::now();
-        while began.elapsed() < Duration::from_secs(3) {
+        let limits = format!("[[budget.whole]]\nuse = \"probes\"\nrate = {rate}\n");
+        let sidecar = Sidecar::start(&[at], discovery(vec![at]), true, &limits).ready();
+        let started = Instant::now();
+        while started.elapsed() < Duration::from_secs(3) {
             sidecar.at_once(4, None);
         }
-        (received.of(|r| &r.probes), sidecar.counter("probes_barred"), began.elapsed())
+        (received.of(|r| &r.probes), sidecar.counter("probes_barred"), started.elapsed())
     };
-    let (free, barred, _) = probes(1000.0);
-    assert!(free >= 5 && barred == 0, "{free} probes where there is room");
-    let (kept, barred, took) = probes(1.0);
-    assert!(kept as f64 <= 2.0 + took.as_secs_f64() && barred > 0, "{kept} probes, {barred} barred");
+    let (free, denied, _) = probes(1000.0);
+    assert!(free >= 5 && denied == 0, "{free} probes below the limit, {denied} denied");
+    let (kept, denied, elapsed) = probes(1.0);
+    assert!(kept as f64 <= 2.0 + elapsed.as_secs_f64() && denied > 0, "{kept} probes, {denied} denied");
 }
 
 #[test]
-fn calls_to_discovery_wait_for_their_turn() {
+fn calls_to_discovery_keep_to_their_limit() {
     let (at, _) = backend(Duration::ZERO, "", false);
-    // News all the time: a watch ends at once, and the next one follows.
+    // Each response is a new version of the list, so a watch ends at once and the next one follows.
     let index = AtomicU64::new(2);
-    let (news, received) = stand_in(move |_, received| {
+    let (updates, received) = stand_in(move |_, received| {
         received.requests.fetch_add(1, Ordering::SeqCst);
         let body = list(&[at], index.fetch_add(1, Ordering::SeqCst));
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
     });
-    let wholes = "[[budget.whole]]\nuse = \"discovery\"\nrate = 4\nburst = 4\n";
-    let began = Instant::now();
-    let _sidecar = Sidecar::start(&[at], news, false, wholes).ready();
+    let limits = "[[budget.whole]]\nuse = \"discovery\"\nrate = 4\nburst = 4\n";
+    let started = Instant::now();
+    let _sidecar = Sidecar::start(&[at], updates, false, limits).ready();
     std::thread::sleep(Duration::from_secs(3));
-    let most = 4.0 + 4.0 * began.elapsed().as_secs_f64() + 1.0;
+    let max = 4.0 + 4.0 * started.elapsed().as_secs_f64() + 1.0;
     let calls = received.of(|r| &r.requests);
-    assert!(calls as f64 <= most && calls >= 3, "{calls} calls, {most} at most");
+    assert!(calls as f64 <= max && calls >= 3, "{calls} calls, {max} at most");
 }
--- a/crates/sidecar/tests/fleet.rs
+++ b/crates/sidecar/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program with faults between them: every shipped script, the same that the emulator plays.
+//! Fleets of real processes with injected faults: runs every shipped script, as the emulator does.
 #![allow(clippy::disallowed_methods)]
 mod common;
 
@@ -8,8 +8,8 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Fleets played side by side, each with five processes or a few more.
-const SIDE_BY_SIDE: usize = 12;
+/// Number of fleets that run concurrently. Each has five or slightly more processes.
+const CONCURRENT_FLEETS: usize = 12;
 
 fn options() -> Options {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_cometcroft"));
@@ -23,41 +23,42 @@
 }
 
 #[test]
-fn no_shipped_script_breaks_a_rule_on_real_processes() {
-    let (next, wrong) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
+fn no_shipped_script_violates_an_invariant_on_real_processes() {
+    let (next, failures) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
-        for _ in 0..SIDE_BY_SIDE {
+        for _ in 0..CONCURRENT_FLEETS {
             scope.spawn(|| {
                 while let Some((name, _)) = SHIPPED.get(next.fetch_add(1, Ordering::SeqCst)) {
                     let report = play(name, 1);
-                    let mut found: Vec<String> = report.broken.iter().map(ToString::to_string).collect();
-                    found.extend(report.crashed.clone());
+                    let mut violations: Vec<String> = report.broken.iter().map(ToString::to_string).collect();
+                    violations.extend(report.crashed.clone());
                     if report.equal_s.is_none() {
-                        found.push("views never became equal and true".to_owned());
+                        violations.push("views did not converge".to_owned());
                     }
                     if report.requests.served == 0 {
-                        found.push(format!("nothing was served: {:?}", report.requests));
+                        violations.push(format!("no request was served: {:?}", report.requests));
                     }
                     println!(
                         "{name}: {:.1} s, known {:?}, equal {:?}, {:?}",
                         report.seconds, report.known_s, report.equal_s, report.requests
                     );
-                    let mut wrong = wrong.lock().expect("nobody panicked");
-                    wrong.extend(found.into_iter().map(|what| format!("{name}: {what}")));
+                    let mut failures = failures.lock().expect("no thread panicked");
+                    failures.extend(violations.into_iter().map(|violation| format!("{name}: {violation}")));
                 }
             });
         }
     });
-    let wrong = wrong.into_inner().expect("nobody panicked");
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    let failures = failures.into_inner().expect("no thread panicked");
+    assert!(failures.is_empty(), "{failures:#?}");
 }
 
-/// How many datagram sockets a process holds, as the system tells.
+/// Number of datagram sockets that a process holds, according to /proc.
 fn datagram_sockets(pid: u32) -> usize {
-    let table = std::fs::read_to_string(format!("/proc/{pid}/net/udp")).expect("the table");
+    let table = std::fs::read_to_string(format!("/proc/{pid}/net/udp")).expect("socket table");
     let inodes: Vec<&str> = table.lines().skip(1).filter_map(|l| l.split_whitespace().nth(9)).collect();
-    let held = std::fs::read_dir(format!("/proc/{pid}/fd")).expect("its descriptors");
-    held.filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok())
+    let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).expect("descriptors of the process");
+    descriptors
+        .filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok())
         .filter(|to| {
             let to = to.to_string_lossy();
             let inode = to.strip_prefix("socket:[").and_then(|rest| rest.strip_suffix(']'));
@@ -67,18 +68,18 @@
 }
 
 #[test]
-fn without_the_operators_file_there_is_no_datagram_socket_and_no_answer_about_a_fleet() {
+fn without_a_fleet_section_no_datagram_socket_is_open_and_ops_fleet_is_not_found() {
     use std::io::{Read, Write};
     let folder = std::env::temp_dir().join(format!("cometcroft-off-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("directory created");
     for fleet in [false, true] {
         let [listen, ops, bind] = common::program::places(1)[0];
         let (config, operator) = (folder.join("config.json"), folder.join("operator.toml"));
         let text = common::config(&listen.to_string(), "127.0.0.1:9", "null");
         std::fs::write(&config, text).expect("written");
-        let member =
+        let section =
             if fleet { format!("[fleet]\nname = \"f\"\nbind = \"{bind}\"\n") } else { String::new() };
-        std::fs::write(&operator, member).expect("written");
+        std::fs::write(&operator, section).expect("written");
         let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_cometcroft"))
             .arg("--operator")
             .arg(&operator)
@@ -86,29 +87,32 @@
             .env("LB_OPS", ops.to_string())
             .stderr(std::process::Stdio::null())
             .spawn()
-            .expect("it starts");
-        let began = std::time::Instant::now();
+            .expect("process starts");
+        let started = std::time::Instant::now();
         let answer = loop {
             let mut answer = String::new();
-            if let Ok(mut door) = std::net::TcpStream::connect(ops)
-                && door.write_all(b"GET /ops/fleet HTTP/1.1\r\nHost: h\r\n\r\n").is_ok()
-                && door.read_to_string(&mut answer).is_ok()
+            if let Ok(mut connection) = std::net::TcpStream::connect(ops)
+                && connection.write_all(b"GET /ops/fleet HTTP/1.1\r\nHost: h\r\n\r\n").is_ok()
+                && connection.read_to_string(&mut answer).is_ok()
                 && !answer.is_empty()
             {
                 break answer;
             }
-            assert!(began.elapsed() < std::time::Duration::from_secs(20), "the door answers");
+            assert!(
+                started.elapsed() < std::time::Duration::from_secs(20),
+                "operations endpoint does not respond"
+            );
             std::thread::sleep(std::time::Duration::from_millis(20));
         };
         let sockets = datagram_sockets(child.id());
-        // A fleet alone has no plan.
+        // A fleet section alone configures no plan.
         let mut plan = String::new();
-        let mut door = std::net::TcpStream::connect(ops).expect("the door");
-        door.write_all(b"GET /ops/plan HTTP/1.1\r\nHost: h\r\n\r\n").expect("asked");
-        door.read_to_string(&mut plan).expect("answered");
+        let mut connection = std::net::TcpStream::connect(ops).expect("operations endpoint");
+        connection.write_all(b"GET /ops/plan HTTP/1.1\r\nHost: h\r\n\r\n").expect("request sent");
+        connection.read_to_string(&mut plan).expect("response received");
         assert!(plan.starts_with("HTTP/1.1 404"), "{plan}");
-        child.kill().expect("it is there");
-        child.wait().expect("it ends");
+        child.kill().expect("process runs");
+        child.wait().expect("process ends");
         assert_eq!(sockets, usize::from(fleet), "{answer}");
         assert_eq!(answer.starts_with("HTTP/1.1 200"), fleet, "{answer}");
         assert_eq!(answer.starts_with("HTTP/1.1 404"), !fleet, "{answer}");
@@ -117,17 +121,20 @@
 }
 
 #[test]
-fn a_bad_operators_file_ends_the_program_with_one_line_that_names_the_field() {
+fn an_invalid_operator_file_is_reported_in_one_line_that_names_the_field() {
     let file = std::env::temp_dir().join(format!("cometcroft-bad-{}.toml", std::process::id()));
     std::fs::write(&file, "[fleet]\nname = \"f\"\nbnd = \"127.0.0.1:1\"\n").expect("written");
     let check = std::process::Command::new(env!("CARGO_BIN_EXE_cometcroft"))
         .arg("check")
         .arg(&file)
         .output()
-        .expect("it runs");
+        .expect("program runs");
     let _ = std::fs::remove_file(&file);
-    let told = String::from_utf8_lossy(&check.stderr).into_owned();
+    let error = String::from_utf8_lossy(&check.stderr).into_owned();
     assert_eq!(check.status.code(), Some(2));
-    assert_eq!(told.lines().count(), 1, "{told}");
-    assert!(told.contains(":3:1: bnd: unknown field") && told.contains("did you mean \"bind\"?"), "{told}");
+    assert_eq!(error.lines().count(), 1, "{error}");
+    assert!(
+        error.contains(":3:1: bnd: unknown field") && error.contains("did you mean \"bind\"?"),
+        "{error}"
+    );
 }
--- a/crates/sidecar/tests/outer_names.rs
+++ b/crates/sidecar/tests/outer_names.rs
@@ -1,5 +1,5 @@
-//! The names that operators' tools read: the counters page, and what the operators' door answers. Doors are those of real
-//! processes, led through what brings every section of their answers.
+//! Names that operators' tools read: the counters and the JSON of the operations endpoint. Real processes are brought
+//! through states in which every section of the JSON is present.
 #![allow(clippy::disallowed_methods)]
 mod common;
 
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn the_counters_are_these() {
+fn counters_have_the_documented_names() {
     let text = Counters::default().json();
     let keys: Vec<&str> = text.split('"').skip(1).step_by(2).collect();
     let expected = "frontend_connections accept_failures frontend_evicted frontend_mute repeated_ids bad_requests \
@@ -24,18 +24,18 @@
     assert_eq!(keys, expected.split_whitespace().collect::<Vec<_>>());
 }
 
-/// The paths of all keys; an element of an array has its array's path, a key that is a number is `N`.
-fn paths(value: &Value, lead: &str, into: &mut BTreeSet<String>) {
+/// Collects the paths of all keys. Elements of an array have the path of the array; a numeric key becomes `N`.
+fn paths(value: &Value, prefix: &str, found: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
             for (key, value) in fields {
                 let key = if key.parse::<u64>().is_ok() { "N" } else { key };
-                let path = if lead.is_empty() { key.to_owned() } else { format!("{lead}.{key}") };
-                paths(value, &path, into);
-                into.insert(path);
+                let path = if prefix.is_empty() { key.to_owned() } else { format!("{prefix}.{key}") };
+                paths(value, &path, found);
+                found.insert(path);
             }
         }
-        Value::Array(values) => values.iter().for_each(|value| paths(value, lead, into)),
+        Value::Array(values) => values.iter().for_each(|value| paths(value, prefix, found)),
         _ => {}
     }
 }
@@ -83,53 +83,54 @@
         operations.plan.faulted operations.plan.fulfilled operations.plan.relayed \
         operations.plan.throttled out_of_rotation registry_age_ms registry_entries relayed";
 
-/// Three voters of a plan and of a budget, and one sidecar more. The first door is asked.
+/// Three voters of the plan and of the budgets, and one other sidecar. The first sidecar is queried.
 struct Fleet {
     sidecars: Vec<Option<Sidecar>>,
     ops: Vec<SocketAddr>,
-    /// What the first door has answered.
+    /// Responses of the first sidecar.
     plans: Vec<Value>,
     views: Vec<Value>,
 }
 
 impl Fleet {
     fn start() -> Fleet {
-        let servers: Vec<SocketAddr> = (0..2).map(|_| backend(Duration::ZERO, "", false).0).collect();
-        let (places, discovery) = (places(4), discovery(servers.clone()));
-        let voters: Vec<String> = places[..3].iter().map(|place| format!("\"{}\"", place[2])).collect();
+        let endpoints: Vec<SocketAddr> = (0..2).map(|_| backend(Duration::ZERO, "", false).0).collect();
+        let (addresses, discovery) = (places(4), discovery(endpoints.clone()));
+        let voters: Vec<String> =
+            addresses[..3].iter().map(|address| format!("\"{}\"", address[2])).collect();
         let voters = voters.join(", ");
         let sections = format!(
             "seeds = [{voters}]\nlongest_pause = \"1s\"\n[plan]\nkeepers = [{voters}]\n[budget]\nkeepers = [{voters}]\n\
              lease = \"1s\"\n[[budget.whole]]\nuse = \"retries\"\nrate = 200\nburst = 200\n"
         );
-        let start = |(i, place): (usize, &[SocketAddr; 3])| {
-            Some(Sidecar::begin(&format!("n{i}"), *place, &servers, discovery, false, &sections))
+        let start = |(i, address): (usize, &[SocketAddr; 3])| {
+            Some(Sidecar::begin(&format!("n{i}"), *address, &endpoints, discovery, false, &sections))
         };
-        let sidecars = places.iter().enumerate().map(start).collect();
-        let ops = places.iter().map(|place| place[1]).collect();
+        let sidecars = addresses.iter().enumerate().map(start).collect();
+        let ops = addresses.iter().map(|address| address[1]).collect();
         Fleet { sidecars, ops, plans: Vec::new(), views: Vec::new() }
     }
 
-    fn call(&self, door: usize, method: &str, path: &str, text: &str) -> (u16, Value) {
+    fn call(&self, sidecar: usize, method: &str, path: &str, text: &str) -> (u16, Value) {
         let length = text.len();
         let head =
             format!("{method} /ops/{path} HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n{text}");
-        let answer = ask(self.ops[door], &head).unwrap_or_default();
+        let answer = ask(self.ops[sidecar], &head).unwrap_or_default();
         let status = answer.get(9..12).and_then(|status| status.parse().ok()).unwrap_or(0);
         let body = answer.split("\r\n\r\n").nth(1).unwrap_or_default();
         (status, serde_json::from_str(body).unwrap_or_default())
     }
 
-    /// A word that has to be taken; its number.
-    fn say(&self, door: usize, call: &str, text: &str) -> u64 {
-        let (status, answer) = self.call(door, "PUT", &format!("plan/{call}"), text);
+    /// Proposes a command that must be applied; returns its number.
+    fn propose(&self, sidecar: usize, call: &str, text: &str) -> u64 {
+        let (status, answer) = self.call(sidecar, "PUT", &format!("plan/{call}"), text);
         assert_eq!(status, 200, "{call}: {answer}");
         assert_paths(std::slice::from_ref(&answer), "index number taken");
         answer["number"].as_u64().expect("a number")
     }
 
-    /// Asks the first door until this holds of the plan and of the view, for 40 s at most.
-    fn until(&mut self, what: &str, holds: impl Fn(&Value, &Value) -> bool) {
+    /// Queries the first sidecar until a condition on its plan and its view holds, for at most 40 s.
+    fn wait_until(&mut self, what: &str, holds: impl Fn(&Value, &Value) -> bool) {
         let until = Instant::now() + Duration::from_secs(40);
         loop {
             let ((_, plan), (_, view)) = (self.call(0, "GET", "plan", ""), self.call(0, "GET", "fleet", ""));
@@ -144,39 +145,40 @@
         }
     }
 
-    /// Waits until a permit has this state.
-    fn permit(&mut self, number: u64, state: &str) {
-        self.until(&format!("permit {number} is {state}"), |plan, _| {
+    /// Waits until a permit is in a state.
+    fn wait_for_permit(&mut self, number: u64, state: &str) {
+        self.wait_until(&format!("permit {number} is {state}"), |plan, _| {
             let mut permits = plan["permits"].as_array().into_iter().flatten();
             permits.any(|permit| permit["number"] == number && permit["state"] == state)
         });
     }
 
-    /// Waits until a member is in this state.
-    fn member(&mut self, name: &str, state: &str) {
-        self.until(&format!("{name} is {state}"), |_, view| {
+    /// Waits until a member is in a state.
+    fn wait_for_member(&mut self, name: &str, state: &str) {
+        self.wait_until(&format!("{name} is {state}"), |_, view| {
             let mut members = view["members"].as_array().into_iter().flatten();
             members.any(|member| member["name"] == name && member["state"] == state)
         });
     }
 }
 
-/// All texts at a path of two keys, the first that of an array.
+/// Distinct values of a key in the entries of an array, over all responses.
 fn texts(answers: &[Value], array: &str, key: &str) -> Vec<String> {
-    let rows = answers.iter().filter_map(|answer| answer[array].as_array()).flatten();
-    let texts: BTreeSet<String> = rows.filter_map(|row| row[key].as_str().map(str::to_owned)).collect();
+    let entries = answers.iter().filter_map(|answer| answer[array].as_array()).flatten();
+    let texts: BTreeSet<String> =
+        entries.filter_map(|entry| entry[key].as_str().map(str::to_owned)).collect();
     texts.into_iter().collect()
 }
 
 #[test]
-fn the_operators_door_answers_with_these_names() {
+fn ops_responses_have_the_documented_names() {
     let mut fleet = Fleet::start();
-    fleet.until("all are there", |plan, view| plan.is_object() && view["reached"] == 4);
-    let (status, refused) = fleet.call(0, "PUT", "plan/propose", "version = 1\n");
-    assert_eq!((status, refused["code"].as_str()), (503, Some("log.not-founded")), "{refused}");
-    assert_paths(&[refused], "code do text");
+    fleet.wait_until("all members are alive", |plan, view| plan.is_object() && view["reached"] == 4);
+    let (status, response) = fleet.call(0, "PUT", "plan/propose", "version = 1\n");
+    assert_eq!((status, response["code"].as_str()), (503, Some("log.not-founded")), "{response}");
+    assert_paths(&[response], "code do text");
     let until = Instant::now() + Duration::from_secs(40);
-    let founded = loop {
+    let bootstrapped = loop {
         let (status, answer) = fleet.call(0, "PUT", "plan/refound", "");
         if status == 200 {
             break answer;
@@ -184,53 +186,54 @@
         assert!(Instant::now() < until, "{answer}");
         std::thread::sleep(Duration::from_millis(50));
     };
-    assert_paths(&[founded], "founded index");
-    fleet.until("it is in force and led", |plan, _| {
+    assert_paths(&[bootstrapped], "founded index");
+    fleet.wait_until("the plan is in force and has a leader", |plan, _| {
         plan["in_force_to"] != 0
             && plan["log"]["leader"].is_string()
             && plan["behind"] == Value::Array(Vec::new())
     });
 
-    // A server's drain is clear when all have confirmed it; one sidecar leaves in turn, and another has to wait.
-    let drain = fleet.say(1, "drain?server=s0&reason=disk+full", "");
-    fleet.permit(drain, "clear");
-    fleet.say(0, &format!("return?permit={drain}"), "");
-    let leaves = fleet.say(3, "restart?leave=1", "");
-    fleet.permit(leaves, "out");
-    let waits = fleet.say(0, "restart", "");
-    fleet.permit(waits, "waiting");
-    fleet.until("it is told for whom", |plan, _| {
+    // The drain of an endpoint is clear once all sidecars have confirmed it. One sidecar leaves with its permit, and another one
+    // has to wait.
+    let drain = fleet.propose(1, "drain?server=s0&reason=disk+full", "");
+    fleet.wait_for_permit(drain, "clear");
+    fleet.propose(0, &format!("return?permit={drain}"), "");
+    let stop = fleet.propose(3, "restart?leave=1", "");
+    fleet.wait_for_permit(stop, "out");
+    let waiting = fleet.propose(0, "restart", "");
+    fleet.wait_for_permit(waiting, "waiting");
+    fleet.wait_until("the waiting permit names what it waits for", |plan, _| {
         let mut permits = plan["permits"].as_array().into_iter().flatten();
-        permits.any(|permit| permit["number"] == waits && permit["waits_for"].is_string())
+        permits.any(|permit| permit["number"] == waiting && permit["waits_for"].is_string())
     });
-    fleet.member("n3", "left");
-    fleet.say(0, &format!("return?permit={waits}"), "");
-    fleet.say(0, &format!("return?permit={leaves}"), "");
+    fleet.wait_for_member("n3", "left");
+    fleet.propose(0, &format!("return?permit={waiting}"), "");
+    fleet.propose(0, &format!("return?permit={stop}"), "");
 
-    // One is killed: it is behind, then gone, and holds a drain up.
+    // A killed sidecar is behind, then dead, and holds up a drain.
     fleet.sidecars[2] = None;
-    let held_up = fleet.say(0, "drain?server=s0", "");
-    fleet.member("n2", "suspect");
-    fleet.member("n2", "gone");
-    fleet.until("it may still serve", |plan, _| {
+    let held_up = fleet.propose(0, "drain?server=s0", "");
+    fleet.wait_for_member("n2", "suspect");
+    fleet.wait_for_member("n2", "gone");
+    fleet.wait_until("the dead sidecar is reported to be possibly serving", |plan, _| {
         let mut behind = plan["behind"].as_array().into_iter().flatten();
-        behind.any(|row| row["name"] == "n2" && row["state"] == "gone, may still serve")
+        behind.any(|entry| entry["name"] == "n2" && entry["state"] == "gone, may still serve")
     });
-    fleet.permit(held_up, "out");
-    fleet.until("it is held up", |plan, _| {
+    fleet.wait_for_permit(held_up, "out");
+    fleet.wait_until("the drain is held up", |plan, _| {
         let mut permits = plan["permits"].as_array().into_iter().flatten();
         permits.any(|permit| permit["held_up_by"] == serde_json::json!(["n2"]))
     });
-    fleet.say(0, &format!("force?permit={held_up}"), "");
-    fleet.permit(held_up, "clear, forced");
-
-    // A release can't end, forward or back, while one that it concerns is gone.
-    fleet.say(0, "release?waves=1000", "version = 1\nattempts = 2\n");
-    fleet.until("it goes on", |plan, _| plan["release"]["phase"] == "Going");
-    fleet.say(0, "halt", "");
-    fleet.until("it is halted", |plan, _| plan["halted_by"] == "n0");
-    fleet.say(0, "back", "");
-    fleet.until("it goes back", |plan, _| plan["release"]["phase"] == "Back");
+    fleet.propose(0, &format!("force?permit={held_up}"), "");
+    fleet.wait_for_permit(held_up, "clear, forced");
+
+    // A release can't complete, forward or back, while a sidecar that it concerns is unreachable.
+    fleet.propose(0, "release?waves=1000", "version = 1\nattempts = 2\n");
+    fleet.wait_until("the release rolls out", |plan, _| plan["release"]["phase"] == "Going");
+    fleet.propose(0, "halt", "");
+    fleet.wait_until("the release is halted", |plan, _| plan["halted_by"] == "n0");
+    fleet.propose(0, "back", "");
+    fleet.wait_until("the release is rolled back", |plan, _| plan["release"]["phase"] == "Back");
 
     assert_eq!(texts(&fleet.plans, "permits", "state"), ["clear", "clear, forced", "out", "waiting"]);
     assert_eq!(texts(&fleet.plans, "behind", "state"), ["gone, may still serve", "there"]);
