--- a/crates/emulator/benches/day.rs
+++ b/crates/emulator/benches/day.rs
@@ -9,8 +9,8 @@
 use cometcroft_emulator::net::{Links, Net, Owner, Party};
 use cometcroft_emulator::scenario::Scenario;
 use cometcroft_emulator::wire::{Call, Reader};
-use cometcroft_sidecar::directory::Directory;
 use cometcroft_sidecar::endpoint_list::{EndpointList, ListReader};
+use cometcroft_sidecar::endpoint_table::EndpointTable;
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use std::hint::black_box;
 use std::time::Duration;
@@ -113,9 +113,9 @@
     group.throughput(Throughput::Bytes(text.len() as u64));
     group.bench_function("read", |b| b.iter(|| read(black_box(&text)).records.len()));
     let (zones, hour) = (vec!["plateau".to_owned()], Duration::from_secs(3600));
-    let directory = Directory::new(zones, hour, hour);
+    let endpoints = EndpointTable::new(zones, hour, hour);
     group.bench_function("read and taken over", |b| {
-        b.iter(|| directory.take(read(black_box(&text)), None).news().map(|news| news.entries.len()));
+        b.iter(|| endpoints.apply(read(black_box(&text)), None).update().map(|update| update.entries.len()));
     });
     group.finish();
 }
--- a/crates/emulator/src/sabotage.rs
+++ b/crates/emulator/src/sabotage.rs
@@ -150,7 +150,7 @@
                 Box::pin(async move {
                     let ended = sound.await;
                     if !matches!(ended.outcome, Outcome::Ok)
-                        && let Some(address) = exchanger.directory.address(to)
+                        && let Some(address) = exchanger.endpoints.address(to)
                     {
                         let until = exchanger.pool.platform().now() + Duration::from_millis(50);
                         if let Ok(lease) = exchanger.pool.get(to, address, until).await {
--- a/crates/sidecar/src/discovery/arrivals.rs
+++ b/crates/sidecar/src/discovery/arrivals.rs
@@ -4,8 +4,8 @@
 use super::call::{Arrivals, Ended, Outcome};
 use super::schedule::CallId;
 use crate::counters::Counters;
-use crate::directory::Directory;
 use crate::endpoint_list::EndpointRecord;
+use crate::endpoint_table::EndpointTable;
 use cometcroft::EndpointEntry;
 use cometcroft_platform::Platform;
 use std::rc::Rc;
@@ -42,7 +42,7 @@
     id: CallId,
     platform: P,
     counters: Rc<Counters>,
-    directory: Rc<Directory>,
+    endpoints: Rc<EndpointTable>,
     report: UnboundedSender<Report<P>>,
     /// Barred, and not yet reported.
     unreported: Vec<EndpointEntry>,
@@ -58,7 +58,7 @@
         id: CallId,
         platform: P,
         counters: Rc<Counters>,
-        directory: Rc<Directory>,
+        endpoints: Rc<EndpointTable>,
         report: UnboundedSender<Report<P>>,
         abandonment: Rc<Abandonment>,
     ) -> Bars<P> {
@@ -66,7 +66,7 @@
             id,
             platform,
             counters,
-            directory,
+            endpoints,
             report,
             unreported: Vec::new(),
             bars_reported: None,
@@ -81,8 +81,10 @@
         // Danger: discovery may move before the owner of the call hears that it has ended, and drop the call.
         if let Outcome::Answered(list) = &ended.outcome {
             let left_out = match self.abandonment.standing() {
-                Standing::Awaited | Standing::Replaced => self.directory.bar_left_out(list, Some(list.index)),
-                Standing::Moved => self.directory.bar_left_out(list, None),
+                Standing::Awaited | Standing::Replaced => {
+                    self.endpoints.exclude_unlisted(list, Some(list.version))
+                }
+                Standing::Moved => self.endpoints.exclude_unlisted(list, None),
                 Standing::Superseded => Vec::new(),
             };
             self.unreported.extend(left_out);
@@ -117,7 +119,7 @@
             Standing::Moved => None,
             Standing::Superseded => return,
         };
-        let barred = self.directory.bar(records, index);
+        let barred = self.endpoints.exclude(records, index);
         let now = self.platform.now();
         if !barred.is_empty() {
             self.barred = true;
--- a/crates/sidecar/src/discovery/call.rs
+++ b/crates/sidecar/src/discovery/call.rs
@@ -2,10 +2,10 @@
 //! kept however the call ends.
 
 use super::abandonment::Abandonment;
+use crate::discovery_connections::DiscoveryConnections;
 use crate::endpoint_list::{EndpointList, EndpointRecord, ListError, ListReader};
 use crate::http::client::{self, Exchange};
 use crate::http::{Fault, Piece};
-use crate::notices::Notices;
 use crate::sockets::send_promptly;
 use bytes::{Bytes, BytesMut};
 use cometcroft_platform::{Elapsed, Platform, Stream};
@@ -54,9 +54,9 @@
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Outcome::Answered(EndpointList { index, whole, records }) => {
-                let scope = if *whole { "whole" } else { "changes" };
-                write!(f, "answered: version {index}, {scope}, {} rows", records.len())
+            Outcome::Answered(EndpointList { version, is_complete, records }) => {
+                let scope = if *is_complete { "whole" } else { "changes" };
+                write!(f, "answered: version {version}, {scope}, {} rows", records.len())
             }
             Outcome::Broken(Some(error)) => write!(f, "broken: {error}"),
             Outcome::Broken(None) => f.write_str("broken"),
@@ -98,7 +98,7 @@
     pub address: SocketAddr,
     pub target: String,
     /// The answer begins within this time.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// Makes one call, on the connection `kept` if that is still open.
@@ -106,11 +106,11 @@
     platform: &P,
     kept: Option<P::Stream>,
     question: Question,
-    notices: &Notices,
+    connections: &DiscoveryConnections,
     abandonment: &Abandonment,
     arrivals: &mut impl Arrivals,
 ) -> Ended<P> {
-    let until = platform.now() + question.patience;
+    let until = platform.now() + question.timeout;
     let asked = tokio::select! {
         biased;
         asked = platform.timeout_at(until, asked(platform, kept, &question)) => asked,
@@ -124,7 +124,7 @@
         Ok(Err(_)) => return Ended::unanswered(Outcome::Unreachable),
         Err(_) => return Ended::unanswered(Outcome::Silent),
     };
-    notices.expect_on(&stream);
+    connections.add(&stream);
     let (exchange, list) = (Exchange::streamed(MAX_LIST), ListReader::default());
     let mut answer = Answer {
         platform,
@@ -317,15 +317,15 @@
     fn hand_on(&mut self, at: Instant) {
         let arrived = &self.list.records()[self.told..];
         if !arrived.is_empty() {
-            self.arrivals.arrived(arrived, self.list.index(), at);
+            self.arrivals.arrived(arrived, self.list.version(), at);
             self.told = self.list.records().len();
         }
     }
 
     /// Hands on what is known of the record that has come in part.
     fn hand_on_arriving(&mut self) {
-        if let Some(record) = self.list.arriving() {
-            self.arrivals.arrived(&[record], self.list.index(), self.platform.now());
+        if let Some(record) = self.list.partial_record() {
+            self.arrivals.arrived(&[record], self.list.version(), self.platform.now());
         }
     }
 
--- a/crates/sidecar/src/discovery/mod.rs
+++ b/crates/sidecar/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery: [`watch`] keeps the [`Directory`] and the decision module up to date. [`schedule`] says when a
+//! Calls to discovery: [`watch`] keeps the [`EndpointTable`] and the decision module up to date. [`schedule`] says when a
 //! call is made; each runs as a task of its own, hands on the records of its list as they arrive ([`arrivals`]) and reports
 //! how it ended.
 
@@ -10,8 +10,8 @@
 pub mod staleness;
 
 use crate::counters::{Counters, count};
-use crate::directory::{Directory, News, Taken};
 use crate::endpoint_list::{EndpointList, ListError};
+use crate::endpoint_table::{ApplyResult, EndpointTable, ListUpdate};
 use crate::fleet::Fleet;
 use crate::lifecycle::Life;
 use crate::session::{Carrier, Host};
@@ -78,7 +78,7 @@
 /// version `index` on if a list is held. `seed` spreads calls. Runs until it is dropped.
 pub async fn watch<C: Carrier>(
     host: Rc<Host<C>>,
-    directory: Rc<Directory>,
+    endpoints: Rc<EndpointTable>,
     source: Rc<Source>,
     life: Rc<Life<C::Platform>>,
     index: Option<i64>,
@@ -92,7 +92,7 @@
         platform,
         counters,
         host,
-        directory,
+        endpoints,
         source,
         life,
         fleet,
@@ -139,7 +139,7 @@
     origin: Instant,
     counters: Rc<Counters>,
     host: Rc<Host<C>>,
-    directory: Rc<Directory>,
+    endpoints: Rc<EndpointTable>,
     source: Rc<Source>,
     life: Rc<Life<C::Platform>>,
     fleet: Option<Rc<Fleet<C::Platform>>>,
@@ -162,8 +162,8 @@
 
 impl<C: Carrier> Watcher<C> {
     async fn run(mut self, mut reports: UnboundedReceiver<Report<C::Platform>>) {
-        let (source, directory) = (self.source.clone(), self.directory.clone());
-        directory.freshness().configure(source.manner.get().pushed);
+        let (source, endpoints) = (self.source.clone(), self.endpoints.clone());
+        endpoints.freshness().configure(source.manner.get().pushed);
         self.tell_trust();
         loop {
             self.make_due_calls();
@@ -171,7 +171,7 @@
             tokio::select! {
                 biased;
                 () = source.moved.notified() => self.moved(),
-                () = directory.staleness().suspected() => {
+                () = endpoints.staleness().wait_until_suspected() => {
                     let now = self.now();
                     tracing::debug!(version = self.held, "the list is suspected to be out of date");
                     self.schedule.suspect(now);
@@ -201,27 +201,29 @@
     }
 
     fn start(&mut self, call: Call) {
-        let Call { id, hold, patience, replaces } = call;
-        tracing::debug!(call = %id, from = self.index, ?hold, ?patience, ?replaces, "discovery is called");
+        let Call { id, hold, timeout, replaces } = call;
+        tracing::debug!(call = %id, from = self.index, ?hold, ?timeout, ?replaces, "discovery is called");
         count(&self.counters.discovery_calls);
         let target = match self.index {
             Some(index) => format!("/discovery/hosts?from={index}&hold_ms={}", hold.as_millis()),
             None => "/discovery/hosts".to_owned(),
         };
-        let question = Question { address: self.source.address.get(), target, patience };
-        let (counters, directory, report) =
-            (self.counters.clone(), self.directory.clone(), self.report.clone());
+        let question = Question { address: self.source.address.get(), target, timeout };
+        let (counters, endpoints, report) =
+            (self.counters.clone(), self.endpoints.clone(), self.report.clone());
         let abandonment = Rc::<Abandonment>::default();
         let shared = abandonment.clone();
         let mut bars =
-            Bars::new(id, self.platform.clone(), counters, directory.clone(), report, shared.clone());
+            Bars::new(id, self.platform.clone(), counters, endpoints.clone(), report, shared.clone());
         let (platform, fleet) = (self.platform.clone(), self.fleet.clone());
         let kept = self.idle.take();
         let task = self.platform.spawn(async move {
             if let Some(fleet) = &fleet {
                 fleet.calls().await;
             }
-            let ended = call::make(&platform, kept, question, directory.notices(), &shared, &mut bars).await;
+            let ended =
+                call::make(&platform, kept, question, endpoints.discovery_connections(), &shared, &mut bars)
+                    .await;
             bars.finish(ended);
         });
         self.running.push(Running { id, began: self.platform.now(), task: Some(task), abandonment });
@@ -248,11 +250,11 @@
         let abandoned = self.running.drain(..).map(|running| running.abandon(Standing::Moved));
         self.moved_away.extend(abandoned);
         (self.idle, self.index, self.held) = (None, None, None);
-        self.directory.forget_versions();
+        self.endpoints.forget_versions();
         let now = self.now();
         self.schedule.moved(now);
         // Lists may be pushed from now on, or no more.
-        self.directory.freshness().configure(self.source.manner.get().pushed);
+        self.endpoints.freshness().configure(self.source.manner.get().pushed);
         self.tell_trust();
     }
 
@@ -276,7 +278,7 @@
             Outcome::Broken(error) => Some(self.broken(error)),
             Outcome::Refused => {
                 count(&self.counters.discovery_failures);
-                Some(Failure::Refused)
+                Some(Failure::Rejected)
             }
             Outcome::NobodyListens | Outcome::Unreachable => {
                 count(&self.counters.discovery_failures);
@@ -285,41 +287,41 @@
             // The connection has fallen silent; another one may not.
             Outcome::Silent => {
                 count(&self.counters.discovery_silent);
-                Some(Failure::Silent)
+                Some(Failure::TimedOut)
             }
         };
-        let (freshness, now) = (self.directory.freshness(), self.platform.now());
+        let (freshness, now) = (self.endpoints.freshness(), self.platform.now());
         if failure.is_none() {
-            freshness.confirmed(began);
+            freshness.record_confirmation(began);
         }
-        freshness.call_ended();
+        freshness.record_call_end();
         let holds = freshness.list_evidence(now).is_ok();
-        self.life.tell(|machine, _| machine.listed(!self.directory.is_empty(), holds));
+        self.life.tell(|machine, _| machine.listed(!self.endpoints.is_empty(), holds));
         self.tell_trust();
         self.log_change_of_state(failure);
         if let Some(failure) = failure {
             let now = self.now();
-            let borne_out =
-                self.directory.staleness().is_borne_out(self.directory.len(), self.platform.now());
-            self.schedule.observe(borne_out);
+            let corroborated =
+                self.endpoints.staleness().is_corroborated(self.endpoints.len(), self.platform.now());
+            self.schedule.observe(corroborated);
             self.schedule.failed(id, failure, now);
         }
     }
 
     /// Takes over the list of an answer; tells why if it cannot be taken. `barred`: what it bars was news when it arrived.
     fn answered(&mut self, id: CallId, list: EndpointList, barred: bool) -> Option<Failure> {
-        let begun_anew = self.schedule.takes_older() && self.held.is_some_and(|held| list.index < held);
+        let begun_anew = self.schedule.accepts_older() && self.held.is_some_and(|held| list.version < held);
         if begun_anew {
-            self.directory.forget_versions();
+            self.endpoints.forget_versions();
         }
         let held = self.held.filter(|_| !begun_anew);
-        self.directory.observe_clocks(self.host.now(), self.platform.unix());
-        match self.directory.take(list, held) {
-            Taken::News(news) => {
-                self.directory.staleness().confirmed(self.platform.now());
-                (self.index, self.held) = (Some(news.index), Some(news.index));
-                let News { index, scope, entries } = &news;
-                tracing::debug!(call = %id, version = index, ?scope, rows = entries.len(), "list is in force");
+        self.endpoints.observe_clocks(self.host.now(), self.platform.unix());
+        match self.endpoints.apply(list, held) {
+            ApplyResult::Applied(news) => {
+                self.endpoints.staleness().record_confirmation(self.platform.now());
+                (self.index, self.held) = (Some(news.version), Some(news.version));
+                let ListUpdate { version, scope, entries } = &news;
+                tracing::debug!(call = %id, version, ?scope, rows = entries.len(), "list is in force");
                 self.logged = None;
                 for moved_away in self.moved_away.drain(..) {
                     moved_away.set(Standing::Superseded);
@@ -329,7 +331,7 @@
                 self.host.tell(Event::EndpointList { scope: news.scope, entries: news.entries });
                 None
             }
-            Taken::Older => {
+            ApplyResult::Older => {
                 // Of two calls in flight either may be answered last. What it barred may be up in the list that is held.
                 let overtaken = self.schedule.overtaken(id);
                 if !overtaken {
@@ -345,7 +347,7 @@
 
     /// Tells the decision module how long the list may be used.
     fn tell_trust(&self) {
-        let trust = self.directory.freshness().trust(self.platform.now());
+        let trust = self.endpoints.freshness().validity(self.platform.now());
         self.host.tell(Event::ListValidity(trust));
     }
 
@@ -354,7 +356,7 @@
         if std::mem::replace(&mut self.last_failure, failure) == failure {
             return;
         }
-        let (version, age) = (self.held, self.directory.confirmed_age(self.platform.now()));
+        let (version, age) = (self.held, self.endpoints.confirmed_age(self.platform.now()));
         match failure {
             None => tracing::info!(version, "discovery answers"),
             Some(failure) => tracing::info!(version, ?age, ?failure, "discovery does not answer"),
@@ -368,6 +370,6 @@
             tracing::warn!(discovery = %self.source.address.get(), held = self.held, "list of endpoints: {error}");
             self.logged = Some(error);
         }
-        Failure::Broken
+        Failure::Invalid
     }
 }
--- a/crates/sidecar/src/discovery/retry_cycle.rs
+++ b/crates/sidecar/src/discovery/retry_cycle.rs
@@ -1,21 +1,21 @@
 //! When a discovery that is down or crowded is called again: once in each period, at a phase drawn at random. No I/O.
 //!
-//! Nobody can tell when discovery is back, and from then on a change counts as told after [`TOLD`]. So the time between two
+//! Nobody can tell when discovery is back, and from then on a change counts as told after [`NOTIFICATION_DEADLINE`]. So the time between two
 //! calls has a bound below that, and the calls of a fleet are spread evenly over it: with longer pauses for some and shorter
 //! ones for others, as drawn pauses give, the last are late though discovery could have answered all.
 //!
 //! Where it could not, and its queue gets longer than callers may wait, nobody is answered, also not those who know that
 //! their lists are out of date. So sidecars whose lists are borne out by many endpoints that serve leave more time.
 
-use super::schedule::{TOLD, Time};
+use super::schedule::{NOTIFICATION_DEADLINE, Time};
 use std::time::Duration;
 
-/// The part of [`TOLD`] that is left for the answer of a call.
+/// The part of [`NOTIFICATION_DEADLINE`] that is left for the answer of a call.
 const ANSWERED_WITHIN: Duration = Duration::from_millis(500);
 /// The time between the beginnings of two calls.
-const PERIOD: Duration = TOLD.saturating_sub(ANSWERED_WITHIN);
+const PERIOD: Duration = NOTIFICATION_DEADLINE.saturating_sub(ANSWERED_WITHIN);
 /// The same, as a multiple, while the list is borne out by the endpoints that serve.
-const BORNE_OUT: f64 = 1.6;
+const CORROBORATED: f64 = 1.6;
 /// After so many calls that failed the periods grow. Where the fleet's calls take discovery longer than a period, its queue
 /// grows longer than callers may wait, and from then on nobody is answered until there are fewer calls.
 const STEADY_CALLS: u32 = 10;
@@ -30,7 +30,7 @@
     /// By the settings.
     pub(super) usual: Duration,
     /// The list is borne out by the endpoints that serve.
-    pub(super) borne_out: bool,
+    pub(super) corroborated: bool,
 }
 
 /// Calls that fail, one in each period.
@@ -47,7 +47,7 @@
 
     /// When the next call is made after one that began at `began` and failed at `now`; `phase` is drawn from 0 to 1.
     pub(super) fn next(&mut self, period: Period, began: Time, now: Time, phase: f64) -> Time {
-        let period = if period.borne_out { period.usual.mul_f64(BORNE_OUT) } else { period.usual };
+        let period = if period.corroborated { period.usual.mul_f64(CORROBORATED) } else { period.usual };
         self.failed += 1;
         if self.failed == 1 {
             return now + period.mul_f64(phase);
--- a/crates/sidecar/src/discovery/schedule.rs
+++ b/crates/sidecar/src/discovery/schedule.rs
@@ -6,7 +6,7 @@
 //! counts.
 
 use super::retry_cycle::{Period, RetryCycle};
-use crate::freshness::LIST;
+use crate::freshness::LIST_VALID_FOR;
 use std::fmt;
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
 pub type Time = Duration;
 
 /// A change counts as told so long after discovery had it and could be reached, whatever call failed.
-pub const TOLD: Duration = Duration::from_secs(6);
+pub const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 
 /// How long a call waits at discovery for news, at most. An answer confirms the list as of the beginning of its call, so two
-/// waits in a row have to end before [`LIST`] has passed.
+/// waits in a row have to end before [`LIST_VALID_FOR`] has passed.
 const HOLD: Duration = Duration::from_millis(2600);
 /// The same at a local agent that lists are pushed to; calls there are free.
 const HOLD_PUSHED: Duration = Duration::from_secs(2);
 /// A wait ends so long before the list lapses, so that its answer comes in time.
 const BEFORE_LAPSE: Duration = Duration::from_millis(600);
-/// The part of [`TOLD`] that remains for a second call after a wait has ended without an answer.
+/// The part of [`NOTIFICATION_DEADLINE`] that remains for a second call after a wait has ended without an answer.
 const RESERVE: Duration = Duration::from_secs(2);
 /// The share of a wait that is random. A change ends the waits of the whole fleet at once; without this all would call
 /// in step from then on.
@@ -87,11 +87,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// It was given up without an answer.
-    Silent,
+    TimedOut,
     /// Its answer broke off or cannot be read, so news may be owed.
-    Broken,
+    Invalid,
     /// It was refused.
-    Refused,
+    Rejected,
     /// Discovery was not reached: no connection could be made, or it ended before a byte of an answer.
     Unreachable,
     /// Its list is older than the one held.
@@ -101,7 +101,7 @@
 impl Failure {
     /// Nothing of a list came, and the connection did not fall silent.
     fn is_refusal(self) -> bool {
-        matches!(self, Failure::Refused | Failure::Unreachable)
+        matches!(self, Failure::Rejected | Failure::Unreachable)
     }
 }
 
@@ -113,7 +113,7 @@
     /// How long it may wait at discovery for news.
     pub hold: Duration,
     /// How long to wait for its answer before it is given up.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// A call in flight that is given up in its favour.
     pub replaces: Option<CallId>,
 }
@@ -160,7 +160,7 @@
     /// Calls while discovery is down or crowded.
     cycle: RetryCycle,
     /// The list is borne out by the endpoints that serve.
-    borne_out: bool,
+    corroborated: bool,
     /// So many of the next calls are quick retries, as news is owed; and so many were made.
     quick_left: u32,
     quick_made: u32,
@@ -187,7 +187,7 @@
             heard: Time::ZERO,
             failures: 0,
             cycle: RetryCycle::default(),
-            borne_out: false,
+            corroborated: false,
             quick_left: 0,
             quick_made: 0,
             older: 0,
@@ -198,7 +198,7 @@
 
     /// Takes over how lists come, and within what time the settings have them asked for.
     pub fn configure(&mut self, pushed: bool, ask_within: Duration) {
-        let retry = RETRY.min(ask_within.min(TOLD) / 4);
+        let retry = RETRY.min(ask_within.min(NOTIFICATION_DEADLINE) / 4);
         let period = RetryCycle::period(ask_within).max(retry);
         self.mode = if pushed { Mode::Pushed } else { Mode::Asked { retry, period } };
     }
@@ -229,13 +229,13 @@
         let continues = self.continues.take().is_some_and(|answered| now <= answered + CONTINUES) && !beside;
         let overdue = self.overdue(now, hold, continues);
         self.in_flight.push(InFlight { id, began: now, opens: !continues, overdue, active: now });
-        Some(Call { id, hold, patience: self.patience(hold), replaces })
+        Some(Call { id, hold, timeout: self.timeout(hold), replaces })
     }
 
     /// A call was answered with a list that was taken.
     pub fn answered(&mut self, id: CallId, now: Time) {
         if let Some(call) = self.in_flight.iter().find(|call| call.id == id) {
-            self.lapses = self.lapses.max(Some(call.began + LIST));
+            self.lapses = self.lapses.max(Some(call.began + LIST_VALID_FOR));
         }
         let newest = self.forget(id).unwrap_or(false);
         self.confirmed = now;
@@ -253,7 +253,7 @@
         let Some(call) = self.in_flight.iter().find(|call| call.id == id) else { return };
         let (began, opens) = (call.began, call.opens);
         let newest = self.forget(id).unwrap_or(false);
-        if failure != Failure::Silent {
+        if failure != Failure::TimedOut {
             self.heard = now;
         }
         if !newest {
@@ -277,7 +277,7 @@
             {
                 self.quick_made = 0;
                 let phase = self.rng.f64();
-                let period = Period { usual: period, borne_out: self.borne_out };
+                let period = Period { usual: period, corroborated: self.corroborated };
                 self.cycle.next(period, began, now, phase)
             }
             _ => {
@@ -289,8 +289,8 @@
     }
 
     /// Whether the list is borne out by the endpoints that serve.
-    pub fn observe(&mut self, borne_out: bool) {
-        self.borne_out = borne_out;
+    pub fn observe(&mut self, corroborated: bool) {
+        self.corroborated = corroborated;
     }
 
     /// The list of a call goes on. However long it is, no second call is made while it does.
@@ -338,7 +338,7 @@
     }
 
     /// Whether lists of an older version have come so often that discovery has begun anew, and the next one is taken.
-    pub fn takes_older(&self) -> bool {
+    pub fn accepts_older(&self) -> bool {
         self.older + 1 >= OLDER_UNTIL_TAKEN
     }
 
@@ -391,7 +391,7 @@
             Mode::Asked { .. } => {
                 let lapses = self.lapses.unwrap_or_default();
                 let before_lapse = lapses.saturating_sub(BEFORE_LAPSE + now);
-                (self.heard + TOLD).saturating_sub(RESERVE + now).min(before_lapse).min(HOLD)
+                (self.heard + NOTIFICATION_DEADLINE).saturating_sub(RESERVE + now).min(before_lapse).min(HOLD)
             }
         };
         longest.mul_f64(1.0 - SPREAD * self.rng.f64())
@@ -400,16 +400,16 @@
     /// Whether a call that failed so shows that discovery is down or crowded.
     fn is_down_or_crowded(&self, failure: Failure, opens: bool, began: Time, now: Time) -> bool {
         match failure {
-            Failure::Refused => opens && now.saturating_sub(began) >= QUEUED,
+            Failure::Rejected => opens && now.saturating_sub(began) >= QUEUED,
             // One alone may be a connection that was reset.
             Failure::Unreachable => self.failures > 1,
-            Failure::Silent | Failure::Broken | Failure::Older => false,
+            Failure::TimedOut | Failure::Invalid | Failure::Older => false,
         }
     }
 
     /// Whether nothing was confirmed for longer than a change may stay unknown.
     fn is_outage(&self, now: Time) -> bool {
-        now > self.confirmed + TOLD
+        now > self.confirmed + NOTIFICATION_DEADLINE
     }
 
     /// When a second call is made beside one that begins now.
@@ -421,7 +421,7 @@
         }
     }
 
-    fn patience(&self, hold: Duration) -> Duration {
+    fn timeout(&self, hold: Duration) -> Duration {
         match self.mode {
             Mode::Asked { .. } => QUEUE.max(hold + GIVE_UP),
             Mode::Pushed if !hold.is_zero() => hold + GIVE_UP_PUSHED,
@@ -446,7 +446,7 @@
         if self.quick_left == 0 {
             self.quick_made = 0;
             // A silent call has waited long enough already.
-            return if failure == Failure::Silent { retry / 2 } else { retry };
+            return if failure == Failure::TimedOut { retry / 2 } else { retry };
         }
         let first = if failure.is_refusal() { RETRY_OWED } else { self.soon() };
         let doubled = first * (1 << self.quick_made.min(QUICK_RETRIES - 1));
--- a/crates/sidecar/src/discovery/staleness.rs
+++ b/crates/sidecar/src/discovery/staleness.rs
@@ -11,9 +11,9 @@
 const SUSPECTED_FROM: usize = 2;
 /// A list is borne out while so many endpoints on it have served lately, and it is not suspected: if a fifth of them drained,
 /// that would be seen with a probability of 93 %.
-const BORNE_OUT_FROM: usize = 12;
+const CORROBORATED_FROM: usize = 12;
 /// Of a long list so large a share of it, as fewer tell little of single endpoints that drain.
-const BORNE_OUT_SHARE: f64 = 0.05;
+const CORROBORATED_SHARE: f64 = 0.05;
 /// How long ago that is at most.
 const LATELY: Duration = Duration::from_secs(3);
 /// Older answers are forgotten when so many are held.
@@ -32,7 +32,7 @@
 
 impl Staleness {
     /// An endpoint has answered a request, or has turned it away.
-    pub fn answered(&self, endpoint: EndpointId, turned_away: bool, now: Instant) {
+    pub fn record_response(&self, endpoint: EndpointId, turned_away: bool, now: Instant) {
         let mut endpoints = self.turned_away.borrow_mut();
         if !turned_away {
             endpoints.remove(&endpoint);
@@ -55,15 +55,15 @@
     }
 
     /// Whether a list of so many endpoints is borne out by those that serve.
-    pub fn is_borne_out(&self, listed: usize, now: Instant) -> bool {
+    pub fn is_corroborated(&self, listed: usize, now: Instant) -> bool {
         let served = self.served.borrow();
         let lately = served.values().filter(|at| now.saturating_duration_since(**at) <= LATELY).count();
-        let enough = BORNE_OUT_FROM.max((listed as f64 * BORNE_OUT_SHARE).ceil() as usize);
+        let enough = CORROBORATED_FROM.max((listed as f64 * CORROBORATED_SHARE).ceil() as usize);
         lately >= enough && self.turned_away.borrow().len() < SUSPECTED_FROM
     }
 
     /// Discovery has confirmed the list.
-    pub fn confirmed(&self, now: Instant) {
+    pub fn record_confirmation(&self, now: Instant) {
         self.turned_away.borrow_mut().clear();
         self.confirmed.set(Some(now));
     }
@@ -74,7 +74,7 @@
     }
 
     /// Waits until the list is suspected to be out of date.
-    pub async fn suspected(&self) {
+    pub async fn wait_until_suspected(&self) {
         self.suspected.notified().await;
     }
 }
--- a/crates/sidecar/src/notices.rs
+++ b/crates/sidecar/src/discovery_connections.rs
@@ -1,4 +1,4 @@
-//! Notices of discovery that have come to this process and that nobody has read yet: nothing may begin before they are read.
+//! DiscoveryConnections of discovery that have come to this process and that nobody has read yet: nothing may begin before they are read.
 
 use cometcroft_platform::Stream;
 use std::cell::RefCell;
@@ -19,13 +19,13 @@
 
 /// The connections on which lists may arrive.
 #[derive(Default)]
-pub struct Notices {
+pub struct DiscoveryConnections {
     connections: RefCell<Vec<Weak<dyn Unread>>>,
 }
 
-impl Notices {
+impl DiscoveryConnections {
     /// A list may arrive on this connection, until it is dropped.
-    pub fn expect_on<S: Stream>(&self, connection: &Rc<RefCell<S>>) {
+    pub fn add<S: Stream>(&self, connection: &Rc<RefCell<S>>) {
         let mut connections = self.connections.borrow_mut();
         connections.retain(|connection| connection.strong_count() > 0);
         let connection: Rc<dyn Unread> = connection.clone();
@@ -39,8 +39,8 @@
     }
 }
 
-impl fmt::Debug for Notices {
+impl fmt::Debug for DiscoveryConnections {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Notices({})", self.connections.borrow().len())
+        write!(f, "DiscoveryConnections({})", self.connections.borrow().len())
     }
 }
--- a/crates/sidecar/src/dispatch.rs
+++ b/crates/sidecar/src/dispatch.rs
@@ -68,7 +68,7 @@
             );
             let ends = carrier.platform().now() + timeout;
             let ended = carrier.attempt(to, &payload, ends, latest).instrument(span.clone()).await;
-            let endpoint = carrier.exchanger.directory.address(to).map(tracing::field::display);
+            let endpoint = carrier.exchanger.endpoints.address(to).map(tracing::field::display);
             span.in_scope(|| tracing::debug!(endpoint, outcome = ?ended.outcome, "attempt ended"));
             payload.ended.set(happened(ended.outcome).or(payload.ended.get()));
             ended
@@ -83,7 +83,7 @@
                 return (Outcome::NotSent, None);
             }
             let fields = carrier.fields.borrow().clone();
-            probe::ask(&carrier.exchanger, &fields, to).await
+            probe::send(&carrier.exchanger, &fields, to).await
         })
     }
 
@@ -148,7 +148,7 @@
         match answered {
             Ok(Ok(reply)) => {
                 let report =
-                    reply.answer.report().and_then(|text| probe::report(text, &self.fields.borrow()));
+                    reply.answer.report().and_then(|text| probe::parse_report(text, &self.fields.borrow()));
                 Ended { outcome: outcome(&reply.answer), report, answer: Some(reply) }
             }
             Ok(Err(error)) => unanswered((&error).into()),
--- a/crates/sidecar/src/door.rs
+++ b/crates/sidecar/src/door.rs
@@ -2,7 +2,7 @@
 //! keeps an operator out. One call a connection.
 
 use crate::counters::{Counters, count};
-use crate::directory::Directory;
+use crate::endpoint_table::EndpointTable;
 use crate::figures::Report;
 use crate::fleet::Fleet;
 use crate::frontend::{admit, bid_farewell, refuse};
@@ -63,7 +63,7 @@
 /// The door, and what it tells of.
 pub struct Door<C: Carrier> {
     host: Rc<Host<C>>,
-    directory: Rc<Directory>,
+    endpoints: Rc<EndpointTable>,
     life: Rc<Life<C::Platform>>,
     counters: Rc<Counters>,
     fleet: Option<Rc<Fleet<C::Platform>>>,
@@ -81,14 +81,14 @@
     /// A door to what these tell, with so many places.
     pub fn new(
         host: Rc<Host<C>>,
-        directory: Rc<Directory>,
+        endpoints: Rc<EndpointTable>,
         life: Rc<Life<C::Platform>>,
         counters: Rc<Counters>,
         (fleet, places): (Option<Rc<Fleet<C::Platform>>>, usize),
     ) -> Rc<Door<C>> {
         Rc::new(Door {
             host,
-            directory,
+            endpoints,
             life,
             counters,
             fleet,
@@ -202,7 +202,7 @@
             Call::Plan => match self.fleet.as_ref().and_then(|fleet| fleet.accord()) {
                 Some(accord) => {
                     let path = request.path().strip_prefix(b"/ops/plan").unwrap_or_default();
-                    words::answer(accord, &self.directory, &self.life, path, request).await
+                    words::answer(accord, &self.endpoints, &self.life, path, request).await
                 }
                 None => (Status::NotFound, String::new()),
             },
@@ -223,9 +223,9 @@
             operations: self.counters.figures.tallies(),
             relayed: self.counters.figures.relayed(),
             open_requests: self.counters.figures.open(),
-            registry_entries: self.directory.len(),
+            registry_entries: self.endpoints.len(),
             registry_age_ms: self
-                .directory
+                .endpoints
                 .confirmed_age(self.host.platform().now())
                 .map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             bar_delay_longest_us: self.counters.bar_delay_longest_us.get(),
--- a/crates/sidecar/src/endpoint_list/mod.rs
+++ b/crates/sidecar/src/endpoint_list/mod.rs
@@ -4,7 +4,7 @@
 mod reader;
 mod record;
 
-pub use reader::{ListError, ListReader, MAX_PENDING};
+pub use reader::{ListError, ListReader, MAX_PENDING_BYTES};
 pub use record::{EndpointRecord, RecordError};
 
 use serde_json::Value;
@@ -13,9 +13,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointList {
     /// Its version.
-    pub index: i64,
+    pub version: i64,
     /// It names all endpoints, not only those that changed.
-    pub whole: bool,
+    pub is_complete: bool,
     /// Its records, in their order; no name stands twice.
     pub records: Vec<EndpointRecord>,
 }
--- a/crates/sidecar/src/endpoint_list/reader.rs
+++ b/crates/sidecar/src/endpoint_list/reader.rs
@@ -1,5 +1,5 @@
 //! Reads a list while it arrives. A record is available as soon as its last byte has been pushed, whatever becomes of the
-//! rest; memory beyond the records is bounded by [`MAX_PENDING`].
+//! rest; memory beyond the records is bounded by [`MAX_PENDING_BYTES`].
 
 use super::EndpointList;
 use super::record::{EndpointRecord, RawRecord, RecordError};
@@ -11,7 +11,7 @@
 use thiserror::Error;
 
 /// The most bytes that one record, or one value beside the records, may take.
-pub const MAX_PENDING: usize = 16 * 1024;
+pub const MAX_PENDING_BYTES: usize = 16 * 1024;
 
 /// Why a list cannot be taken.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
@@ -22,8 +22,8 @@
         /// Records that came before.
         records: usize,
     },
-    /// A record or a value is longer than [`MAX_PENDING`].
-    #[error("holds a value of over {MAX_PENDING} bytes behind record {records}")]
+    /// A record or a value is longer than [`MAX_PENDING_BYTES`].
+    #[error("holds a value of over {MAX_PENDING_BYTES} bytes behind record {records}")]
     TooLong {
         /// Records that came before.
         records: usize,
@@ -94,8 +94,8 @@
     /// So many of the pending bytes hold no end of a record that was not looked at.
     searched: usize,
     expected: Expected,
-    index: Option<i64>,
-    whole: Option<bool>,
+    version: Option<i64>,
+    is_complete: Option<bool>,
     listed: bool,
     records: Vec<EndpointRecord>,
     /// Records that were read, taken or not.
@@ -114,8 +114,8 @@
             consumed: 0,
             searched: 0,
             expected: Expected::Start,
-            index: None,
-            whole: None,
+            version: None,
+            is_complete: None,
             listed: false,
             records: Vec::new(),
             position: 0,
@@ -138,7 +138,7 @@
         self.searched = self.searched.saturating_sub(self.consumed);
         self.consumed = 0;
         let result = match self.pending.len() {
-            0..=MAX_PENDING => result,
+            0..=MAX_PENDING_BYTES => result,
             _ => result.and(Err(ListError::TooLong { records: self.position })),
         };
         if let Err(error) = &result {
@@ -153,8 +153,8 @@
     }
 
     /// The list's version, once it has arrived.
-    pub fn index(&self) -> Option<i64> {
-        self.index
+    pub fn version(&self) -> Option<i64> {
+        self.version
     }
 
     /// Nothing of the list is missing.
@@ -163,13 +163,13 @@
     }
 
     /// How many bytes were given to the parser: a measure of the work done.
-    pub fn parsed(&self) -> u64 {
+    pub fn parsed_bytes(&self) -> u64 {
         self.parsed
     }
 
     /// The record that is arriving, as far as it has come, if its fields that came whole are enough. Of a list that pauses or
     /// has broken off, what it bars binds.
-    pub fn arriving(&self) -> Option<EndpointRecord> {
+    pub fn partial_record(&self) -> Option<EndpointRecord> {
         let in_record = matches!(self.expected, Expected::FirstRecord | Expected::Record);
         let pending = self.pending.trim_ascii_start();
         if !in_record || self.stopped.is_some() || !pending.starts_with(b"{") {
@@ -188,8 +188,8 @@
         if self.expected != Expected::End {
             return Err(ListError::Unfinished { records: self.position });
         }
-        let index = self.index.ok_or(ListError::Missing("index"))?;
-        let whole = self.whole.ok_or(ListError::Missing("snapshot"))?;
+        let version = self.version.ok_or(ListError::Missing("index"))?;
+        let is_complete = self.is_complete.ok_or(ListError::Missing("snapshot"))?;
         if !self.listed {
             return Err(ListError::Missing("endpoints"));
         }
@@ -197,7 +197,7 @@
         if let Some(repeated) = self.records.iter().find(|record| !names.insert(record.name.as_str())) {
             return Err(ListError::RepeatedName(repeated.name.clone()));
         }
-        Ok(EndpointList { index, whole, records: self.records })
+        Ok(EndpointList { version, is_complete, records: self.records })
     }
 
     fn read(&mut self) -> Result<(), ListError> {
@@ -253,8 +253,8 @@
             _ => Field::Other,
         };
         let repeated = match field {
-            Field::Index => self.index.is_some(),
-            Field::Snapshot => self.whole.is_some(),
+            Field::Index => self.version.is_some(),
+            Field::Snapshot => self.is_complete.is_some(),
             Field::Endpoints => self.listed,
             Field::Other => false,
         };
@@ -269,13 +269,13 @@
     fn value(&mut self, field: Field) -> Result<Step, ListError> {
         let length = match field {
             Field::Index => {
-                let Some((index, length)) = self.parse::<i64>()? else { return Ok(Step::Wait) };
-                self.index = Some(index);
+                let Some((version, length)) = self.parse::<i64>()? else { return Ok(Step::Wait) };
+                self.version = Some(version);
                 length
             }
             Field::Snapshot => {
-                let Some((whole, length)) = self.parse::<bool>()? else { return Ok(Step::Wait) };
-                self.whole = Some(whole);
+                let Some((is_complete, length)) = self.parse::<bool>()? else { return Ok(Step::Wait) };
+                self.is_complete = Some(is_complete);
                 length
             }
             Field::Endpoints | Field::Other => {
--- a/crates/sidecar/src/endpoint_list/record.rs
+++ b/crates/sidecar/src/endpoint_list/record.rs
@@ -28,7 +28,7 @@
 
 impl EndpointRecord {
     /// Nothing new may be sent there.
-    pub fn bars(&self) -> bool {
+    pub fn is_excluded(&self) -> bool {
         self.state != EndpointState::Ready
     }
 }
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -3,7 +3,7 @@
 
 use crate::backend::{Lease, Pool};
 use crate::counters::{Counters, count, invariant};
-use crate::directory::Directory;
+use crate::endpoint_table::EndpointTable;
 use crate::freshness;
 use crate::http::client::{Answer, Exchange};
 use crate::http::server::Coding;
@@ -84,7 +84,7 @@
     /// Connections.
     pub pool: Rc<Pool<P>>,
     /// Where the backend servers are, and which of them drain.
-    pub directory: Rc<Directory>,
+    pub endpoints: Rc<EndpointTable>,
     /// What is counted.
     pub counters: Rc<Counters>,
 }
@@ -100,7 +100,7 @@
         Ends { ends, latest }: Ends,
         written: impl FnOnce(),
     ) -> io::Result<Reply> {
-        let address = self.directory.address(to).ok_or(io::ErrorKind::AddrNotAvailable)?;
+        let address = self.endpoints.address(to).ok_or(io::ErrorKind::AddrNotAvailable)?;
         let platform = self.pool.platform();
         let bounded = latest.map_or(ends, |latest| latest.min(ends));
         let lease = self.pool.get(to, address, bounded).await;
@@ -133,7 +133,7 @@
         written();
         let mut exchange = Exchange::delimited(MAX_BULK);
         let answer = read_answer(self.pool.platform(), &mut lease.stream, &mut exchange, STALLED).await?;
-        self.directory.answered(to, began, answer.rejected(), platform.now());
+        self.endpoints.record_response(to, began, answer.rejected(), platform.now());
         let bulk = answer.bulk.is_some();
         if !bulk && exchange.reusable() {
             self.pool.put(to, lease);
@@ -151,7 +151,7 @@
     /// Waits until what has come of discovery is read: this process may have been held up, and find a notice and the
     /// connection for a request at once. Danger: how long that takes grows with the list.
     async fn notices_read(&self, endpoint: SocketAddr, until: Instant) -> io::Result<()> {
-        while self.directory.notices().any_unread() {
+        while self.endpoints.discovery_connections().any_unread() {
             if self.pool.platform().now() >= until {
                 return Err(self.barred(endpoint, Barred::NoticesUnread));
             }
@@ -173,16 +173,16 @@
         poll_fn(|context| {
             let now = self.pool.platform().now();
             // Danger: what is not confirmed may have changed, and counts as told after a while all the same.
-            let evidence = match self.directory.evidence(to, now) {
+            let evidence = match self.endpoints.evidence(to, now) {
                 Ok(evidence) => evidence,
                 Err(lack) => return Poll::Ready(Err(self.barred(address, Barred::NoEvidence(lack)))),
             };
-            if !self.directory.open_at(to, address) {
+            if !self.endpoints.is_open_at(to, address) {
                 return Poll::Ready(Err(self.barred(address, Barred::NotListed)));
             }
             let written = Pin::new(&mut lease.stream).poll_write(context, message);
             if let Poll::Ready(Ok(_)) = written {
-                let open = self.directory.open(to);
+                let open = self.endpoints.is_open(to);
                 invariant(&self.counters, open, "nothing begins at a backend server that is barred");
                 let (version, age) = self.list_held();
                 tracing::debug!(endpoint = %address, version, ?age, ?evidence, "attempt begins");
@@ -206,7 +206,7 @@
 
     /// The version of the list that is held, and the time since discovery confirmed it.
     fn list_held(&self) -> (Option<i64>, Option<Duration>) {
-        (self.directory.version(), self.directory.confirmed_age(self.pool.platform().now()))
+        (self.endpoints.version(), self.endpoints.confirmed_age(self.pool.platform().now()))
     }
 
     /// The window for repeats has ended before this one was written whole.
@@ -221,7 +221,7 @@
 enum Barred {
     /// Nothing shows that its endpoint may be sent to.
     #[error("no evidence that the endpoint may be sent to: {0}")]
-    NoEvidence(freshness::Lack),
+    NoEvidence(freshness::NoEvidence),
     /// Its endpoint drains, is gone or has moved.
     #[error("the endpoint drains, is gone or has moved")]
     NotListed,
--- a/crates/sidecar/src/force.rs
+++ b/crates/sidecar/src/force.rs
@@ -3,7 +3,7 @@
 
 use crate::backend::Pool;
 use crate::config::Config;
-use crate::directory::Directory;
+use crate::endpoint_table::EndpointTable;
 use crate::fleet::Fleet;
 use crate::frontend::{Frontend, HttpBackend};
 use crate::lifecycle::Life;
@@ -17,7 +17,7 @@
 pub(crate) struct Force<C: HttpBackend> {
     pub frontend: Rc<Frontend<C>>,
     pub host: Rc<Host<C>>,
-    pub directory: Rc<Directory>,
+    pub endpoints: Rc<EndpointTable>,
     pub pool: Rc<Pool<C::Platform>>,
     pub life: Rc<Life<C::Platform>>,
     pub fields: Rc<RefCell<Rc<[Field]>>>,
@@ -31,7 +31,7 @@
     pub fn file(&self, config: Config) {
         self.life.tell(|machine, _| machine.longest(config.longest_deadline()));
         let Config { settings, net, fields, .. } = config;
-        self.directory.retune(net.zones.clone());
+        self.endpoints.set_zones(net.zones.clone());
         self.pool.retune(net.idle, net.connect_timeout);
         self.fields.replace(fields.into());
         match &self.fleet {
@@ -50,7 +50,7 @@
         let mut settings = settings.clone();
         fleet.settle(&mut settings, &net.tenants);
         // Danger: a bar that the module hears of before the list is stricter would be tried all the same.
-        let entries = self.directory.judge();
+        let entries = self.endpoints.refresh_adjustments();
         if !entries.is_empty() {
             self.host.tell(Event::EndpointList { scope: ListScope::Changes, entries });
         }
--- a/crates/sidecar/src/freshness.rs
+++ b/crates/sidecar/src/freshness.rs
@@ -1,12 +1,12 @@
 //! How long a list that discovery does not confirm may be used. No I/O.
 //!
-//! A change counts as told [`TOLD`] after discovery had it, whether or not it could answer all who asked. So what is held
+//! A change counts as told [`NOTIFICATION_DEADLINE`] after discovery had it, whether or not it could answer all who asked. So what is held
 //! lapses that long after the instant as of which it was known to hold, and nobody can tell then whether an endpoint drains,
 //! but by the endpoint itself: one that drains turns new requests away after a while ([`WINDING_DOWN`]). Until the list is
 //! confirmed, requests begin only at endpoints that took one lately. That calls fail, however they do, opens nothing: it says
 //! nothing of what discovery had before.
 
-use crate::discovery::schedule::TOLD;
+use crate::discovery::schedule::NOTIFICATION_DEADLINE;
 use cometcroft::ListValidity;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -17,9 +17,9 @@
 /// This process may be held up for so long between a look at the clock and a write.
 const HELD_UP: Duration = Duration::from_millis(150);
 /// A list holds for so long from the beginning of the call that was answered with it or confirmed it.
-pub const LIST: Duration = TOLD.saturating_sub(HELD_UP);
+pub const LIST_VALID_FOR: Duration = NOTIFICATION_DEADLINE.saturating_sub(HELD_UP);
 /// That an endpoint took a request shows for so long that it takes another.
-const ACCEPTED: Duration = LIST.saturating_sub(WINDING_DOWN);
+const ACCEPTED_VALID_FOR: Duration = LIST_VALID_FOR.saturating_sub(WINDING_DOWN);
 
 /// What shows that a request may begin at an endpoint that the list names as ready.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,24 +34,24 @@
 
 /// Why nothing shows that.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Lack {
+pub enum NoEvidence {
     /// The endpoint took no request since it started.
     #[error("{0}, and the endpoint took no request")]
-    NeverAccepted(NotHeld),
+    NeverAccepted(ListInvalid),
     /// The last request that the endpoint took began so long ago.
     #[error("{0}, and the endpoint took its last request {1:?} ago")]
-    AcceptedTooLongAgo(NotHeld, Duration),
+    AcceptedTooLongAgo(ListInvalid, Duration),
 }
 
 /// Why the list does not hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum NotHeld {
+pub enum ListInvalid {
     /// Discovery has not answered since the process started.
     #[error("no list was confirmed since the start")]
     NeverConfirmed,
     /// It lapsed so long ago.
     #[error("the list lapsed {0:?} ago")]
-    Lapsed(Duration),
+    Expired(Duration),
 }
 
 /// What is known of the list as a whole.
@@ -74,39 +74,39 @@
 
     /// Discovery has confirmed the list, with an answer to a call that began at `began`. Danger: an answer may have been made
     /// at any time since then; when it comes says nothing.
-    pub fn confirmed(&self, began: Instant) {
-        self.holds_until.set(self.holds_until.get().max(Some(began + LIST)));
+    pub fn record_confirmation(&self, began: Instant) {
+        self.holds_until.set(self.holds_until.get().max(Some(began + LIST_VALID_FOR)));
     }
 
     /// A call has ended, with or without an answer.
-    pub fn call_ended(&self) {
+    pub fn record_call_end(&self) {
         self.agent_asked.set(true);
     }
 
     /// The list holds for so much longer, whatever becomes of calls.
-    pub fn holds_for(&self, now: Instant) -> Duration {
+    pub fn valid_for(&self, now: Instant) -> Duration {
         self.holds_until.get().map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
     /// What shows that a request may begin at any endpoint that is listed as ready.
-    pub fn list_evidence(&self, now: Instant) -> Result<Evidence, NotHeld> {
+    pub fn list_evidence(&self, now: Instant) -> Result<Evidence, ListInvalid> {
         if self.pushed.get() && self.agent_asked.get() {
             return Ok(Evidence::Pushed);
         }
         match self.holds_until.get() {
             Some(until) if now < until => Ok(Evidence::ListHolds(until - now)),
-            Some(until) => Err(NotHeld::Lapsed(now - until)),
-            None => Err(NotHeld::NeverConfirmed),
+            Some(until) => Err(ListInvalid::Expired(now - until)),
+            None => Err(ListInvalid::NeverConfirmed),
         }
     }
 
     /// The same for an endpoint that took a request, which began at `accepted`, if any.
-    pub fn evidence(&self, accepted: Option<Instant>, now: Instant) -> Result<Evidence, Lack> {
+    pub fn evidence(&self, accepted: Option<Instant>, now: Instant) -> Result<Evidence, NoEvidence> {
         self.list_evidence(now).or_else(|not_held| {
             match accepted.map(|at| now.saturating_duration_since(at)) {
-                Some(ago) if ago < ACCEPTED => Ok(Evidence::Accepted(ago)),
-                Some(ago) => Err(Lack::AcceptedTooLongAgo(not_held, ago)),
-                None => Err(Lack::NeverAccepted(not_held)),
+                Some(ago) if ago < ACCEPTED_VALID_FOR => Ok(Evidence::Accepted(ago)),
+                Some(ago) => Err(NoEvidence::AcceptedTooLongAgo(not_held, ago)),
+                None => Err(NoEvidence::NeverAccepted(not_held)),
             }
         })
     }
@@ -117,10 +117,13 @@
     }
 
     /// How far the decision module can rely on the list; none: without end.
-    pub fn trust(&self, now: Instant) -> Option<ListValidity> {
+    pub fn validity(&self, now: Instant) -> Option<ListValidity> {
         match self.list_evidence(now) {
             Ok(Evidence::Pushed) => None,
-            _ => Some(ListValidity { list_valid_for: self.holds_for(now), accepted_valid_for: ACCEPTED }),
+            _ => Some(ListValidity {
+                list_valid_for: self.valid_for(now),
+                accepted_valid_for: ACCEPTED_VALID_FOR,
+            }),
         }
     }
 }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,5 +1,5 @@
 //! One sidecar round the decision module. Modules follow the stages of a request: [`frontend`], [`session`],
-//! [`dispatch`], [`exchange`], [`backend`]; beside it run [`discovery`], which fills the [`directory`], and [`probe`].
+//! [`dispatch`], [`exchange`], [`backend`]; beside it run [`discovery`], which fills the [`endpoint_table`], and [`probe`].
 //! Sockets, clock and tasks come from a [`Platform`](cometcroft_platform::Platform).
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -10,11 +10,12 @@
 pub mod config;
 pub mod counters;
 pub mod dial;
-pub mod directory;
 pub mod discovery;
+pub mod discovery_connections;
 pub mod dispatch;
 pub mod door;
 pub mod endpoint_list;
+pub mod endpoint_table;
 pub mod exchange;
 pub mod figures;
 pub mod fleet;
@@ -24,7 +25,6 @@
 pub mod http;
 pub mod lifecycle;
 pub mod logging;
-pub mod notices;
 pub mod operator;
 pub mod probe;
 pub mod purse;
@@ -39,10 +39,10 @@
 use crate::classes::Register;
 use crate::config::Config;
 use crate::counters::Counters;
-use crate::directory::Directory;
 use crate::dispatch::HttpCarrier;
 use crate::door::Door;
 use crate::endpoint_list::EndpointList;
+use crate::endpoint_table::EndpointTable;
 use crate::exchange::Exchanger;
 use crate::fleet::{Fleet, FleetParts};
 use crate::force::Force;
@@ -112,9 +112,9 @@
     let member = fleet.map(|parts| Fleet::new(platform.clone(), parts, instances, seed.rotate_left(32)));
     let (fleet, meets) = member.unzip();
     let pool = Pool::new(platform.clone(), to_backends, [idle, dial], counters.clone(), fleet.clone());
-    let directory = Rc::new(Directory::new(config.net.zones.clone(), ORIGIN, platform.unix()));
+    let endpoints = Rc::new(EndpointTable::new(config.net.zones.clone(), ORIGIN, platform.unix()));
     let exchanger =
-        Exchanger { pool: pool.clone(), directory: directory.clone(), counters: counters.clone() };
+        Exchanger { pool: pool.clone(), endpoints: endpoints.clone(), counters: counters.clone() };
     let fields = Rc::new(RefCell::new(config.fields.into()));
     let carrier = wrap(HttpCarrier { exchanger, fields: fields.clone(), fleet: fleet.clone() });
     let register = Register::new(&config.net.classes, &config.settings.classes);
@@ -124,17 +124,17 @@
     counters.figures.name(&config.net.classes);
     host.tell(Event::Start);
     let known = EndpointList::from_value(&std::mem::take(&mut config.known)).ok();
-    let known = known.and_then(|list| directory.take(list, None).news());
+    let known = known.and_then(|list| endpoints.apply(list, None).update());
     // Danger: beside a predecessor the list as last held is not good enough to serve by, and a watch would wait.
-    let index = known.as_ref().map(|known| known.index).filter(|_| config.socket.is_none());
+    let index = known.as_ref().map(|known| known.version).filter(|_| config.socket.is_none());
     if let Some(known) = known {
         host.tell(Event::EndpointList { scope: ListScope::Restored, entries: known.entries });
     }
-    life.tell(|machine, _| machine.listed(!directory.is_empty(), false));
+    life.tell(|machine, _| machine.listed(!endpoints.is_empty(), false));
     // Another stream of numbers than the module's, from the same seed.
     let watch = discovery::watch(
         host.clone(),
-        directory.clone(),
+        endpoints.clone(),
         control.source.clone(),
         life.clone(),
         index,
@@ -161,7 +161,7 @@
     let door = ops.map(|ops| {
         let door = Door::new(
             host.clone(),
-            directory.clone(),
+            endpoints.clone(),
             life.clone(),
             counters.clone(),
             (fleet.clone(), reserve / 3),
@@ -180,7 +180,7 @@
     let force = Force {
         frontend: frontend.clone(),
         host: host.clone(),
-        directory: directory.clone(),
+        endpoints: endpoints.clone(),
         pool,
         life: life.clone(),
         fields,
@@ -190,7 +190,7 @@
     let accord = fleet.as_ref().and_then(|fleet| fleet.accord());
     if let Some(accord) = accord {
         let (judging, asked) = (accord.clone(), life.clone());
-        directory.judge_by(Box::new(move |name, zone, group| judging.verdict(name, zone, group)));
+        endpoints.set_weight_adjuster(Box::new(move |name, zone, group| judging.verdict(name, zone, group)));
         accord.ready_by(move || asked.ask(Machine::wanted));
     }
     let tuner = platform.clone();
--- a/crates/sidecar/src/probe.rs
+++ b/crates/sidecar/src/probe.rs
@@ -18,7 +18,7 @@
 const MOST: f64 = 1e6;
 
 /// Probes a backend server.
-pub async fn ask<P: Platform>(exchanger: &Exchanger<P>, fields: &[Field], to: EndpointId) -> Probed {
+pub async fn send<P: Platform>(exchanger: &Exchanger<P>, fields: &[Field], to: EndpointId) -> Probed {
     count(&exchanger.counters.probes);
     let platform = exchanger.pool.platform();
     let (stage, ends) = (Cell::new(Stage::Unwritten), platform.now() + PATIENCE);
@@ -32,7 +32,7 @@
     {
         Ok(Ok(Reply { answer, .. })) => {
             let text = if answer.body.is_empty() { answer.report() } else { Some(&answer.body) };
-            let report = text.and_then(|text| report(text, fields));
+            let report = text.and_then(|text| parse_report(text, fields));
             (if answer.status == 200 { Outcome::Ok } else { Outcome::Error }, report)
         }
         Ok(Err(error)) => (without_answer(stage.get(), (&error).into()), None),
@@ -45,7 +45,7 @@
 }
 
 /// Reads a load report, of the values that the settings name.
-pub fn report(text: &[u8], fields: &[Field]) -> Option<LoadReport> {
+pub fn parse_report(text: &[u8], fields: &[Field]) -> Option<LoadReport> {
     let value: Value = serde_json::from_slice(text).ok()?;
     let mut report = LoadReport::default();
     for (name, figure) in value.as_object()? {
--- a/crates/sidecar/src/words.rs
+++ b/crates/sidecar/src/words.rs
@@ -2,7 +2,7 @@
 //! body; every refusal is JSON with a code, what is wrong, and what can be done.
 
 use crate::accord::{Accord, Failure};
-use crate::directory::Directory;
+use crate::endpoint_table::EndpointTable;
 use crate::http::server::{Request, Status};
 use crate::lifecycle::Life;
 use cometcroft_consensus::ConsensusError;
@@ -84,12 +84,12 @@
 /// Answers a call under `/ops/plan`.
 pub async fn answer<P: Platform>(
     accord: &Rc<Accord<P>>,
-    directory: &Directory,
+    endpoints: &EndpointTable,
     life: &Rc<Life<P>>,
     path: &[u8],
     request: &Request,
 ) -> (Status, String) {
-    let (status, value) = match said(accord, directory, life, path, request).await {
+    let (status, value) = match said(accord, endpoints, life, path, request).await {
         Ok(value) => (Status::Ok, value),
         Err(refused) => refused,
     };
@@ -113,7 +113,7 @@
 
 async fn said<P: Platform>(
     accord: &Rc<Accord<P>>,
-    directory: &Directory,
+    endpoints: &EndpointTable,
     life: &Rc<Life<P>>,
     path: &[u8],
     request: &Request,
@@ -134,7 +134,7 @@
         b"/read" => Command::Noop,
         b"/propose" | b"/release" => {
             let text = text()?;
-            accord.leaves_enough(&text, &directory.listed()).map_err(|failure| refused(&failure))?;
+            accord.leaves_enough(&text, &endpoints.listed()).map_err(|failure| refused(&failure))?;
             match query.get("waves") {
                 None if path == b"/propose" => Command::Propose { text },
                 None => return Err(bad("waves", "is missing: shares in thousandths, such as 50,250,1000")),
@@ -151,7 +151,7 @@
             let to = wanted(&query, "to")?;
             // A revision that was right once may leave too little of what is there now.
             let text = accord.text(to).map_err(|failure| refused(&failure))?;
-            accord.leaves_enough(&text, &directory.listed()).map_err(|failure| refused(&failure))?;
+            accord.leaves_enough(&text, &endpoints.listed()).map_err(|failure| refused(&failure))?;
             Command::RollBackTo { revision: to }
         }
         b"/pin" => Command::Pin { revision: wanted(&query, "revision")?, pinned: !query.contains_key("off") },
@@ -160,7 +160,7 @@
         b"/back" => Command::RollBackRelease,
         b"/drain" => {
             let name: String = wanted(&query, "server")?;
-            let listed = directory.listed();
+            let listed = endpoints.listed();
             let row = listed.iter().find(|(listed, ..)| *listed == name);
             let Some((_, zone, ..)) = row else {
                 return Err(bad("server", "no backend server of that name is listed here"));
--- a/crates/sidecar/tests/crossings.rs
+++ b/crates/sidecar/tests/crossings.rs
@@ -6,8 +6,8 @@
 use cometcroft_platform::{Platform, Tokio};
 use cometcroft_sidecar::backend::Pool;
 use cometcroft_sidecar::counters::Counters;
-use cometcroft_sidecar::directory::Directory;
 use cometcroft_sidecar::endpoint_list::EndpointList;
+use cometcroft_sidecar::endpoint_table::EndpointTable;
 use cometcroft_sidecar::exchange::{Ends, Exchanger};
 use common::story::{
     BOOK, Gated, PLAN, Peer, confirm_all, confirmed_story, confirmed_story_with, next, pushed, reaches, rest,
@@ -711,24 +711,24 @@
         let listener = || TcpListener::bind("127.0.0.1:0");
         let (server, discovery) = (listener().await.expect("a port"), listener().await.expect("a port"));
         let address = server.local_addr().expect("bound");
-        let directory = Directory::new(vec!["a".into()], Duration::ZERO, Tokio.unix());
+        let endpoints = EndpointTable::new(vec!["a".into()], Duration::ZERO, Tokio.unix());
         let list = |status: &str| {
             let text = format!(
                 r#"{{"index":1,"snapshot":true,"endpoints":[{{"name":"s","address":"{address}","zone":"a","status":"{status}"}}]}}"#
             );
             EndpointList::from_value(&serde_json::from_str(&text).expect("JSON")).expect("a list")
         };
-        let entries = directory.take(list("up"), None).news().expect("it is taken").entries;
+        let entries = endpoints.apply(list("up"), None).update().expect("it is taken").entries;
         let notices = Tokio.connect(discovery.local_addr().expect("bound")).await.expect("it listens");
         let notices = Rc::new(RefCell::new(notices));
-        directory.notices().expect_on(&notices);
+        endpoints.discovery_connections().add(&notices);
         let mut peer = next(&discovery).await;
         peer.say("x").await;
         let counters = Rc::new(Counters::default());
         let second = Duration::from_secs(1);
         let pool = Pool::new(Tokio, 2, [5 * second, second], counters.clone(), None);
-        let directory = Rc::new(directory);
-        let exchanger = Exchanger { pool, directory: directory.clone(), counters };
+        let endpoints = Rc::new(endpoints);
+        let exchanger = Exchanger { pool, endpoints: endpoints.clone(), counters };
         let (to, ends) = (entries[0].endpoint, Ends { ends: Tokio.now() + 2 * second, latest: None });
         let attempt = tokio::task::spawn_local(async move {
             exchanger.run(to, || PLAN.as_bytes().into(), None, ends, || {}).await.map(|reply| reply.answer.status)
@@ -738,7 +738,7 @@
         assert!(!attempt.is_finished());
         // It is read, and bars.
         drop(notices);
-        directory.bar(&list("draining").records, Some(2));
+        endpoints.exclude(&list("draining").records, Some(2));
         let ended = Tokio.timeout(second, attempt).await.expect("it is not sent, so it ends at once");
         assert!(ended.expect("no panic").is_err(), "it is barred");
         assert_eq!(server.hear().await, "", "not a byte");
--- a/crates/sidecar/tests/crowded_discovery.rs
+++ b/crates/sidecar/tests/crowded_discovery.rs
@@ -16,7 +16,7 @@
 const ENDPOINTS: usize = 16;
 const DRAINED: usize = 5;
 /// A change counts as told so long after discovery had it, ...
-const TOLD: Duration = Duration::from_secs(6);
+const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 /// ... and then the grace and the slack of the protocol run.
 const GRACE: Duration = Duration::from_millis(300);
 /// Discovery has calls wait for so long before it refuses them.
@@ -229,7 +229,7 @@
 fn late(world: &World, drained: Instant) -> BTreeMap<String, usize> {
     let mut late = BTreeMap::new();
     for (sidecar, endpoint, at) in world.begun.lock().expect("no panic").iter() {
-        if *endpoint < DRAINED && *at > drained + TOLD + GRACE {
+        if *endpoint < DRAINED && *at > drained + NOTIFICATION_DEADLINE + GRACE {
             *late.entry(sidecar.clone()).or_default() += 1;
         }
     }
@@ -364,7 +364,7 @@
 fn a_process_sends_nothing_by_an_old_list_that_it_is_started_with() {
     let mut fleet = Fleet::new(Duration::from_millis(12_000));
     let drained = fleet.world.drain();
-    sleep(TOLD - 800 * MS);
+    sleep(NOTIFICATION_DEADLINE - 800 * MS);
     fleet.start(&["started0", "started1", "started2"]);
     let finished = fleet.finish();
     finished.assert_nothing_late(drained);
--- a/crates/sidecar/tests/discovery_outage.rs
+++ b/crates/sidecar/tests/discovery_outage.rs
@@ -1,7 +1,7 @@
 //! A fleet's calls when discovery is back from an outage: all are answered before what it has counts as told, where that
 //! is possible at all. The schedules of the whole fleet run against a model of discovery that answers calls in turn.
 
-use cometcroft_sidecar::discovery::schedule::{CallId, Failure, Schedule, TOLD, Time};
+use cometcroft_sidecar::discovery::schedule::{CallId, Failure, NOTIFICATION_DEADLINE, Schedule, Time};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
@@ -109,10 +109,10 @@
                 self.fail(sidecar, watch, Failure::Unreachable);
             }
             Event::Fails(sidecar, call, reached) => {
-                let failure = if reached { Failure::Refused } else { Failure::Unreachable };
+                let failure = if reached { Failure::Rejected } else { Failure::Unreachable };
                 self.fail(sidecar, call, failure);
             }
-            Event::GivenUp(sidecar, call) => self.fail(sidecar, call, Failure::Silent),
+            Event::GivenUp(sidecar, call) => self.fail(sidecar, call, Failure::TimedOut),
             Event::Due(sidecar) => self.call(sidecar),
             Event::Served => {
                 if let Some((sidecar, call, arrived)) = self.serving.take() {
@@ -155,7 +155,7 @@
         while let Some(call) = self.schedules[sidecar].poll(self.now, false) {
             self.open[sidecar].retain(|one| Some(*one) != call.replaces);
             self.open[sidecar].push(call.id);
-            self.at(self.now + call.patience, Event::GivenUp(sidecar, call.id));
+            self.at(self.now + call.timeout, Event::GivenUp(sidecar, call.id));
             match self.outage.down {
                 _ if self.now >= self.back() => self.enqueue(sidecar, call.id),
                 Down::Refuses => self.at(self.now + PATIENCE, Event::Fails(sidecar, call.id, true)),
@@ -186,7 +186,7 @@
 /// The share of the fleet that is answered before what discovery has counts as told, over some seeds, and the longest time.
 fn told_in_time(outage: Outage) -> (f64, Duration) {
     let times: Vec<Duration> = (1..=5).flat_map(|seed| World::new(outage, seed).run()).collect();
-    let in_time = times.iter().filter(|time| **time <= TOLD + GRACE).count();
+    let in_time = times.iter().filter(|time| **time <= NOTIFICATION_DEADLINE + GRACE).count();
     (in_time as f64 / times.len() as f64, times.into_iter().max().unwrap_or_default())
 }
 
@@ -207,7 +207,11 @@
         for outage in outages(sidecars, Duration::from_micros(cost)) {
             let (share, longest) = told_in_time(outage);
             // Phases are drawn, so for a moment there may be more calls than discovery has time for.
-            assert!(share >= 0.99, "{share:.3} within {:?}, longest {longest:?}: {outage:?}", TOLD + GRACE);
+            assert!(
+                share >= 0.99,
+                "{share:.3} within {:?}, longest {longest:?}: {outage:?}",
+                NOTIFICATION_DEADLINE + GRACE
+            );
         }
     }
 }
--- a/crates/sidecar/tests/discovery_schedule.rs
+++ b/crates/sidecar/tests/discovery_schedule.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use cometcroft::EndpointId;
-use cometcroft_sidecar::discovery::schedule::{Call, Failure, Schedule, TOLD, Time};
+use cometcroft_sidecar::discovery::schedule::{Call, Failure, NOTIFICATION_DEADLINE, Schedule, Time};
 use cometcroft_sidecar::discovery::staleness::Staleness;
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
@@ -12,9 +12,9 @@
 
 fn failure() -> impl Strategy<Value = Failure> {
     prop_oneof![
-        Just(Failure::Silent),
-        Just(Failure::Broken),
-        Just(Failure::Refused),
+        Just(Failure::TimedOut),
+        Just(Failure::Invalid),
+        Just(Failure::Rejected),
         Just(Failure::Unreachable)
     ]
 }
@@ -27,7 +27,7 @@
 
 /// When a call ends that fails so: refusals come at once, silence is given up.
 fn ends(call: Call, at: Time, failure: Failure) -> Time {
-    if failure == Failure::Silent { at + call.patience } else { at }
+    if failure == Failure::TimedOut { at + call.timeout } else { at }
 }
 
 proptest! {
@@ -67,10 +67,10 @@
                 let retried = schedule.next_at().expect("it is retried");
                 if failure == Failure::Unreachable && retried - now > 1950 * MS {
                     prop_assert!(!before_last.is_empty(), "one alone may be a connection that was reset");
-                    prop_assert!(retried + 500 * MS <= now + TOLD && retried - now <= ask_within.max(1500 * MS));
+                    prop_assert!(retried + 500 * MS <= now + NOTIFICATION_DEADLINE && retried - now <= ask_within.max(1500 * MS));
                     return Ok(());
                 }
-                let outage = now > schedule.confirmed() + TOLD;
+                let outage = now > schedule.confirmed() + NOTIFICATION_DEADLINE;
                 let longest = if outage { ask_within } else { ask_within / 2 };
                 prop_assert!(retried - now <= longest.max(600 * MS), "the settings' time for asking is kept");
                 now
@@ -81,15 +81,15 @@
             // Made beside the silent one.
             Some(due) => due,
             None => {
-                let end = at + silent.patience;
-                schedule.failed(silent.id, Failure::Silent, end);
+                let end = at + silent.timeout;
+                schedule.failed(silent.id, Failure::TimedOut, end);
                 schedule.next_at().expect("it is retried")
             }
         };
-        let outage = at > schedule.confirmed() + TOLD;
+        let outage = at > schedule.confirmed() + NOTIFICATION_DEADLINE;
         let told = match last {
-            Some(_) if !outage => reached + TOLD,
-            _ => (reached + TOLD).max(at + silent.hold + 2000 * MS),
+            Some(_) if !outage => reached + NOTIFICATION_DEADLINE,
+            _ => (reached + NOTIFICATION_DEADLINE).max(at + silent.hold + 2000 * MS),
         };
         prop_assert!(second + 500 * MS <= told, "{second:?} after {reached:?}");
     }
@@ -102,9 +102,9 @@
         let mut now = Time::ZERO;
         for _ in 0..failures {
             let (at, call) = next(&mut schedule, now, false);
-            prop_assert!(call.hold.is_zero() && call.patience <= 500 * MS);
-            now = at + call.patience;
-            schedule.failed(call.id, Failure::Silent, now);
+            prop_assert!(call.hold.is_zero() && call.timeout <= 500 * MS);
+            now = at + call.timeout;
+            schedule.failed(call.id, Failure::TimedOut, now);
             let retried = schedule.next_at().expect("it is retried");
             prop_assert!(retried - now <= 30 * MS);
         }
@@ -122,10 +122,10 @@
         prop_assert_eq!(began, at);
         prop_assert!(wait.hold >= 1500 * MS, "waits in which nothing happens are no stream of calls");
         if pushed {
-            schedule.failed(wait.id, Failure::Silent, began + wait.patience);
+            schedule.failed(wait.id, Failure::TimedOut, began + wait.timeout);
         }
         let (second, quick) = next(&mut schedule, began, false);
-        prop_assert!(second - began + 1000 * MS <= TOLD, "no call was refused before");
+        prop_assert!(second - began + 1000 * MS <= NOTIFICATION_DEADLINE, "no call was refused before");
         prop_assert!(quick.hold.is_zero(), "whether there is news is owed");
     }
 
@@ -139,8 +139,8 @@
         schedule.answered(first.id, at);
         let (began, wait) = next(&mut schedule, at, false);
         let (second_at, second) = next(&mut schedule, began, false);
-        prop_assert!(second.replaces.is_none() && began + wait.patience > second_at);
-        prop_assert!(second.patience >= 3 * Duration::from_secs(1), "as long as a call may be queued there");
+        prop_assert!(second.replaces.is_none() && began + wait.timeout > second_at);
+        prop_assert!(second.timeout >= 3 * Duration::from_secs(1), "as long as a call may be queued there");
         // The answer of the first confirms the list, and no further call is made until the second has ended.
         let late = second_at + 100 * MS;
         schedule.answered(wait.id, late);
@@ -158,14 +158,14 @@
         schedule.configure(false, Duration::from_secs(10));
         let (at, call) = next(&mut schedule, Time::ZERO, false);
         let mut now = at + 2000 * MS;
-        schedule.failed(call.id, Failure::Refused, now);
+        schedule.failed(call.id, Failure::Rejected, now);
         let planned = schedule.next_at();
         schedule.suspect(now);
         prop_assert_eq!(schedule.next_at(), planned, "in no outage it is not brought forward");
-        while now <= TOLD {
+        while now <= NOTIFICATION_DEADLINE {
             let (at, call) = next(&mut schedule, now, false);
             now = at + 2000 * MS;
-            schedule.failed(call.id, Failure::Refused, now);
+            schedule.failed(call.id, Failure::Rejected, now);
         }
         for _ in 0..signs {
             schedule.suspect(now);
@@ -176,7 +176,7 @@
         let overdue = schedule.next_at();
         schedule.suspect(due);
         prop_assert_eq!(schedule.next_at(), overdue, "no second call beside one that is queued");
-        schedule.failed(call.id, Failure::Refused, due + 2000 * MS);
+        schedule.failed(call.id, Failure::Rejected, due + 2000 * MS);
         let retried = schedule.next_at().expect("it is retried");
         prop_assert!(retried - due >= 2000 * MS + 3300 * MS, "without a new sign the pause is that of an outage");
     }
@@ -188,10 +188,10 @@
     fn in_an_outage_calls_begin_a_period_apart(seed in any::<u64>(), unreachable in any::<bool>()) {
         let mut schedule = Schedule::new(seed);
         schedule.configure(false, Duration::from_secs(10));
-        let period = TOLD - 500 * MS;
+        let period = NOTIFICATION_DEADLINE - 500 * MS;
         let (lasts, failure) = match unreachable {
             true => (Duration::ZERO, Failure::Unreachable),
-            false => (2000 * MS, Failure::Refused),
+            false => (2000 * MS, Failure::Rejected),
         };
         let (mut now, mut began) = (Time::ZERO, Vec::new());
         for _ in 0..24 {
@@ -214,7 +214,7 @@
     fn no_history_of_failures_makes_a_stream_of_calls(
         seed in any::<u64>(),
         fates in proptest::collection::vec(
-            (prop_oneof![3 => Just(None), 5 => Just(Some(Failure::Refused)), 1 => failure().prop_map(Some)], 0u64..400),
+            (prop_oneof![3 => Just(None), 5 => Just(Some(Failure::Rejected)), 1 => failure().prop_map(Some)], 0u64..400),
             1..200,
         ),
     ) {
@@ -234,8 +234,8 @@
             now += Duration::from_millis(later);
             if open.len() > 1 || schedule.next_at().is_none() {
                 let hanging = open.remove(0);
-                now += hanging.patience;
-                schedule.failed(hanging.id, Failure::Silent, now);
+                now += hanging.timeout;
+                schedule.failed(hanging.id, Failure::TimedOut, now);
             }
         }
         for second in made.windows(9) {
@@ -265,7 +265,7 @@
             for _ in 0..8 {
                 let (at, call) = next(&mut schedule, now, false);
                 now = at;
-                schedule.failed(call.id, Failure::Refused, now);
+                schedule.failed(call.id, Failure::Rejected, now);
             }
             schedule.next_at().expect("it is retried") - now
         })
@@ -281,15 +281,15 @@
     schedule.configure(false, Duration::from_secs(10));
     let mut now = Time::ZERO;
     for _ in 0..2 {
-        assert!(!schedule.takes_older());
+        assert!(!schedule.accepts_older());
         let (at, call) = next(&mut schedule, now, false);
         now = at;
         schedule.failed(call.id, Failure::Older, now);
     }
-    assert!(schedule.takes_older());
+    assert!(schedule.accepts_older());
     let (at, call) = next(&mut schedule, now, false);
     schedule.answered(call.id, at);
-    assert!(!schedule.takes_older());
+    assert!(!schedule.accepts_older());
 }
 
 #[test]
@@ -302,7 +302,7 @@
     let (_, after) = next(&mut schedule, at, false);
     let due = schedule.next_at();
     assert!(schedule.overtaken(wait.id) && !schedule.overtaken(after.id));
-    schedule.failed(wait.id, Failure::Silent, at + 10 * MS);
+    schedule.failed(wait.id, Failure::TimedOut, at + 10 * MS);
     assert_eq!(schedule.next_at(), due);
 }
 
@@ -367,7 +367,7 @@
         let (at, call) = next(&mut schedule, now, false);
         now = at;
         made.push(at);
-        schedule.failed(call.id, Failure::Refused, now);
+        schedule.failed(call.id, Failure::Rejected, now);
     }
     assert!(made.len() <= 12, "{} calls: {made:?}", made.len());
 }
@@ -375,17 +375,17 @@
 /// Whoever hears from many endpoints that serve would see that some drain, and leaves discovery more time for the others.
 #[test]
 fn calls_are_further_apart_while_the_list_is_borne_out() {
-    let gap = |borne_out: bool| {
+    let gap = |corroborated: bool| {
         let mut schedule = Schedule::new(3);
         schedule.configure(false, Duration::from_secs(10));
-        schedule.observe(borne_out);
+        schedule.observe(corroborated);
         let mut began = Vec::new();
         let mut now = Time::ZERO;
         for _ in 0..3 {
             let (at, call) = next(&mut schedule, now, false);
             began.push(at);
             now = at + 2000 * MS;
-            schedule.failed(call.id, Failure::Refused, now);
+            schedule.failed(call.id, Failure::Rejected, now);
         }
         began[2] - began[1]
     };
@@ -397,14 +397,14 @@
     let began = Instant::now();
     let staleness = Staleness::default();
     for endpoint in 0..12 {
-        assert!(!staleness.is_borne_out(40, began), "{endpoint} are too few");
-        staleness.answered(EndpointId(endpoint), false, began);
+        assert!(!staleness.is_corroborated(40, began), "{endpoint} are too few");
+        staleness.record_response(EndpointId(endpoint), false, began);
     }
-    assert!(staleness.is_borne_out(40, began));
-    assert!(!staleness.is_borne_out(400, began), "of a long list more are needed");
-    assert!(!staleness.is_borne_out(40, began + 4000 * MS), "that was too long ago");
+    assert!(staleness.is_corroborated(40, began));
+    assert!(!staleness.is_corroborated(400, began), "of a long list more are needed");
+    assert!(!staleness.is_corroborated(40, began + 4000 * MS), "that was too long ago");
     for endpoint in 20..22 {
-        staleness.answered(EndpointId(endpoint), true, began);
+        staleness.record_response(EndpointId(endpoint), true, began);
     }
-    assert!(!staleness.is_borne_out(40, began), "two turn requests away");
+    assert!(!staleness.is_corroborated(40, began), "two turn requests away");
 }
--- a/crates/sidecar/tests/endpoint_list.rs
+++ b/crates/sidecar/tests/endpoint_list.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use cometcroft::EndpointState;
-use cometcroft_sidecar::endpoint_list::{EndpointList, ListError, ListReader, MAX_PENDING, RecordError};
+use cometcroft_sidecar::endpoint_list::{
+    EndpointList, ListError, ListReader, MAX_PENDING_BYTES, RecordError,
+};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
@@ -62,7 +64,7 @@
             prop_assert!(!(refused && result.is_ok()), "what was refused stays refused");
             refused = result.is_err();
         }
-        let _ = reader.arriving();
+        let _ = reader.partial_record();
         let _ = reader.finish();
     }
 }
@@ -97,9 +99,9 @@
         assert_eq!(reader.records().len(), ENDPOINTS);
         // Each record here holds three braces: one in a string, one of an inner value, its own.
         assert!(
-            reader.parsed() <= 3 * text.len() as u64,
+            reader.parsed_bytes() <= 3 * text.len() as u64,
             "{} of {} in {pieces:?}",
-            reader.parsed(),
+            reader.parsed_bytes(),
             text.len()
         );
     }
@@ -135,7 +137,7 @@
         let expected = Err(ListError::Record { position: 1, error });
         assert_eq!(read(&whole(&format!("{up},{record}"))), expected, "{record}");
     }
-    let long = format!(r#"{{"index":1,"endpoints":[{{"name":"{}"#, "a".repeat(MAX_PENDING));
+    let long = format!(r#"{{"index":1,"endpoints":[{{"name":"{}"#, "a".repeat(MAX_PENDING_BYTES));
     assert_eq!(read(&long), Err(ListError::TooLong { records: 0 }));
 }
 
--- a/crates/sidecar/tests/freshness.rs
+++ b/crates/sidecar/tests/freshness.rs
@@ -9,7 +9,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 /// A change counts as told so long after discovery had it and could be reached.
-const TOLD: Duration = Duration::from_secs(6);
+const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 
 fn started() -> (Freshness, Instant) {
     let now = Instant::now();
@@ -21,9 +21,9 @@
 fn the_list_that_a_process_is_started_with_opens_nothing_before_discovery_answers() {
     let (freshness, began) = started();
     assert!(!freshness.allows(None, began));
-    freshness.call_ended();
+    freshness.record_call_end();
     assert!(!freshness.allows(None, began + 100 * MS));
-    freshness.confirmed(began + 200 * MS);
+    freshness.record_confirmation(began + 200 * MS);
     assert!(freshness.allows(None, began + 300 * MS));
 }
 
@@ -33,12 +33,12 @@
     let (freshness, began) = started();
     let called = began + 10_000 * MS;
     // Whenever its answer came. A process may be held up for 0.15 s between its look at the clock and a write.
-    freshness.confirmed(called);
-    assert!(freshness.allows(None, called + TOLD - 160 * MS));
-    assert!(!freshness.allows(None, called + TOLD - 150 * MS));
+    freshness.record_confirmation(called);
+    assert!(freshness.allows(None, called + NOTIFICATION_DEADLINE - 160 * MS));
+    assert!(!freshness.allows(None, called + NOTIFICATION_DEADLINE - 150 * MS));
     // An answer to an older call, which comes later, takes nothing back.
-    freshness.confirmed(called - 2000 * MS);
-    assert!(freshness.allows(None, called + TOLD - 160 * MS));
+    freshness.record_confirmation(called - 2000 * MS);
+    assert!(freshness.allows(None, called + NOTIFICATION_DEADLINE - 160 * MS));
 }
 
 #[test]
@@ -55,12 +55,12 @@
 fn once_the_list_has_lapsed_only_an_answer_opens_endpoints_without_evidence() {
     let (freshness, began) = started();
     let answered = began + 10_000 * MS;
-    freshness.confirmed(answered);
+    freshness.record_confirmation(answered);
     for seconds in [6, 10, 60, 600, 3600] {
         assert!(!freshness.allows(None, answered + Duration::from_secs(seconds)));
     }
     let later = answered + Duration::from_secs(3600);
-    freshness.confirmed(later);
+    freshness.record_confirmation(later);
     assert!(freshness.allows(None, later));
 }
 
@@ -69,9 +69,9 @@
     let (freshness, began) = started();
     freshness.configure(true);
     // What it has counts from the first moment of a process.
-    assert!(!freshness.allows(None, began) && freshness.trust(began).is_some());
-    freshness.call_ended();
-    assert!(freshness.allows(None, began + 60_000 * MS) && freshness.trust(began).is_none());
+    assert!(!freshness.allows(None, began) && freshness.validity(began).is_some());
+    freshness.record_call_end();
+    assert!(freshness.allows(None, began + 60_000 * MS) && freshness.validity(began).is_none());
 }
 
 proptest! {
@@ -83,11 +83,11 @@
         asked in 0u32..9000,
     ) {
         let (freshness, began) = started();
-        let (mut now, mut told) = (began, began + TOLD);
+        let (mut now, mut told) = (began, began + NOTIFICATION_DEADLINE);
         for pause in pauses {
             now += pause * MS;
-            freshness.confirmed(now);
-            told = now + TOLD;
+            freshness.record_confirmation(now);
+            told = now + NOTIFICATION_DEADLINE;
         }
         let at = now + asked * MS;
         prop_assert!(at < told || !freshness.allows(None, at));
--- a/crates/sidecar/tests/outage_model.rs
+++ b/crates/sidecar/tests/outage_model.rs
@@ -11,7 +11,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 /// The limit of the protocol's page, and how long a process may be held up between its look at the clock and a write.
-const TOLD: Duration = Duration::from_secs(6);
+const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 const HELD_UP: Duration = Duration::from_millis(150);
 const ASK_WITHIN: Duration = Duration::from_secs(10);
 const TIMELINES: u64 = 2_000;
@@ -92,7 +92,10 @@
     fn told(&self, version: usize) -> Option<Time> {
         let change = self.changes[version - 1];
         let reached = std::iter::once(change).chain(self.spans.iter().map(|(from, _)| *from));
-        reached.filter(|at| *at >= change && self.service(*at).is_up()).min().map(|at| at + TOLD)
+        reached
+            .filter(|at| *at >= change && self.service(*at).is_up())
+            .min()
+            .map(|at| at + NOTIFICATION_DEADLINE)
     }
 }
 
@@ -150,7 +153,7 @@
     }
 
     fn confirm(&self, as_of: Time) {
-        self.freshness.confirmed(self.origin + as_of);
+        self.freshness.record_confirmation(self.origin + as_of);
     }
 
     /// Plays the day; the first instant at which the list opened what it should not have, if any.
@@ -208,15 +211,15 @@
                     return (made - now, End::Failure(Failure::Unreachable));
                 }
                 let takes = made + delay - now;
-                if takes > call.patience {
-                    return (call.patience, End::Failure(Failure::Silent));
+                if takes > call.timeout {
+                    return (call.timeout, End::Failure(Failure::TimedOut));
                 }
                 (takes, End::Answer(self.timeline.version(made)))
             }
-            Service::Crowded => (2_000 * MS, End::Failure(Failure::Refused)),
+            Service::Crowded => (2_000 * MS, End::Failure(Failure::Rejected)),
             Service::Down => (MS, End::Failure(Failure::Unreachable)),
-            Service::Silent => (call.patience, End::Failure(Failure::Silent)),
-            Service::CutsOff => (20 * MS, End::Failure(Failure::Broken)),
+            Service::Silent => (call.timeout, End::Failure(Failure::TimedOut)),
+            Service::CutsOff => (20 * MS, End::Failure(Failure::Invalid)),
         }
     }
 
@@ -241,7 +244,7 @@
                     self.schedule.failed(call.id, failure, now - start);
                 }
             }
-            self.freshness.call_ended();
+            self.freshness.record_call_end();
         }
     }
 
@@ -250,7 +253,7 @@
         match self.defect {
             Some(Defect::Refusal) => failure == Failure::Unreachable,
             Some(Defect::Silence) => self.failures >= 3,
-            Some(Defect::CutOff) => failure == Failure::Broken,
+            Some(Defect::CutOff) => failure == Failure::Invalid,
             _ => false,
         }
     }
--- a/crates/sidecar/tests/parts.rs
+++ b/crates/sidecar/tests/parts.rs
@@ -9,14 +9,14 @@
 use cometcroft_sidecar::classes::{AROUND, Form, Register};
 use cometcroft_sidecar::config::Config;
 use cometcroft_sidecar::counters::Counters;
-use cometcroft_sidecar::directory::{Directory, News};
 use cometcroft_sidecar::endpoint_list::{EndpointList, EndpointRecord, ListReader};
+use cometcroft_sidecar::endpoint_table::{EndpointTable, ListUpdate};
 use cometcroft_sidecar::exchange::{Lack, Stage, outcome, without_answer};
 use cometcroft_sidecar::figures::Figures;
 use cometcroft_sidecar::frontend::time_left;
 use cometcroft_sidecar::http::client::Exchange;
 use cometcroft_sidecar::lifecycle::Machine;
-use cometcroft_sidecar::probe::report;
+use cometcroft_sidecar::probe::parse_report;
 use cometcroft_sidecar::retune::Control;
 use cometcroft_sidecar::upload::{Budget, GATHERED, Upload};
 use proptest::prelude::*;
@@ -179,7 +179,7 @@
 #[test]
 fn an_absurd_load_report_says_nothing() {
     let fields = [Field::Inflight, Field::Queue];
-    let read = |text: &str| report(text.as_bytes(), &fields).is_some();
+    let read = |text: &str| parse_report(text.as_bytes(), &fields).is_some();
     assert!(read(r#"{"inflight":3,"queue":0.5,"other":-1}"#));
     for bad in ["%%%", "{\"", "[]", r#"{"inflight":-1}"#, r#"{"queue":1e300}"#, r#"{"queue":"many"}"#] {
         assert!(!read(bad), "{bad}");
@@ -187,31 +187,32 @@
 }
 
 /// Has a directory take a list, if it can be read.
-fn taken(directory: &Directory, list: &serde_json::Value) -> Option<News> {
-    directory.take(EndpointList::from_value(list).ok()?, None).news()
+fn taken(endpoints: &EndpointTable, list: &serde_json::Value) -> Option<ListUpdate> {
+    endpoints.apply(EndpointList::from_value(list).ok()?, None).update()
 }
 
 /// Has a directory take what a list that broke off bars.
-fn salvaged(directory: &Directory, part: &[u8]) -> Vec<EndpointEntry> {
+fn salvaged(endpoints: &EndpointTable, part: &[u8]) -> Vec<EndpointEntry> {
     let mut reader = ListReader::default();
     reader.push(part).expect("well formed as far as it goes");
-    let records: Vec<EndpointRecord> = reader.records().iter().cloned().chain(reader.arriving()).collect();
-    directory.bar(&records, reader.index())
+    let records: Vec<EndpointRecord> =
+        reader.records().iter().cloned().chain(reader.partial_record()).collect();
+    endpoints.exclude(&records, reader.version())
 }
 
 #[test]
-fn the_directory_tells_drains_moves_and_starts() {
-    let directory = Directory::new(vec!["a".into(), "b".into()], Duration::from_secs(3600), Tokio.unix());
+fn the_endpoint_table_tells_drains_moves_and_starts() {
+    let endpoints = EndpointTable::new(vec!["a".into(), "b".into()], Duration::from_secs(3600), Tokio.unix());
     let entry = |name: &str, port: u16, status: &str| {
         json!({"name": name, "address": format!("127.0.0.1:{port}"), "zone": "b", "type": "m", "group": 3,
                "status": status, "weight": 1.5, "since_ms": 0})
     };
-    let take = |value: serde_json::Value| taken(&directory, &value);
-    let open = |id| directory.open(EndpointId(id));
+    let take = |value: serde_json::Value| taken(&endpoints, &value);
+    let open = |id| endpoints.is_open(EndpointId(id));
     let first =
         json!({"index": 4, "snapshot": true, "endpoints": [entry("x", 1, "up"), entry("y", 2, "up")]});
     let news = take(first).expect("a list");
-    assert_eq!((news.index, news.scope, news.entries.len()), (4, ListScope::Complete, 2));
+    assert_eq!((news.version, news.scope, news.entries.len()), (4, ListScope::Complete, 2));
     assert_eq!(
         (news.entries[1].zone, news.entries[1].cell, news.entries[1].started),
         (ZoneId(1), CellId(3), None)
@@ -225,9 +226,9 @@
     assert!(!open(0));
     // It may come back, elsewhere.
     take(json!({"index": 6, "snapshot": false, "endpoints": [entry("x", 9, "up")]}));
-    assert!(open(0) && directory.address(EndpointId(0)).is_some_and(|a| a.port() == 9));
+    assert!(open(0) && endpoints.address(EndpointId(0)).is_some_and(|a| a.port() == 9));
     let at = |port: u16| std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    assert!(directory.open_at(EndpointId(0), at(9)) && !directory.open_at(EndpointId(0), at(1)));
+    assert!(endpoints.is_open_at(EndpointId(0), at(9)) && !endpoints.is_open_at(EndpointId(0), at(1)));
     // Who is absent from a whole list is gone; one that was never there needs no place.
     let rest = json!({"index": 7, "snapshot": true, "endpoints": [entry("x", 9, "up"), {"name": "z", "status": "removed"}]});
     assert_eq!(take(rest).expect("a list").entries.len(), 1);
@@ -254,14 +255,14 @@
         row + list[row..].find(",\"zone\"").expect("a field behind it")
     };
     for cut in 0..=list.len() {
-        let directory = Directory::new(vec![], Duration::ZERO, Tokio.unix());
-        taken(&directory, &known).expect("a list");
-        let members = salvaged(&directory, &list.as_bytes()[..cut]);
+        let endpoints = EndpointTable::new(vec![], Duration::ZERO, Tokio.unix());
+        taken(&endpoints, &known).expect("a list");
+        let members = salvaged(&endpoints, &list.as_bytes()[..cut]);
         let expected = usize::from(cut >= told("a")) + usize::from(cut >= told("c"));
         assert_eq!(members.len(), expected, "cut at {cut}");
         assert!(members.iter().all(|m| m.state != EndpointState::Ready));
-        assert_eq!(directory.len(), 3 - usize::from(cut >= told("c")), "one that is gone leaves the table");
-        assert!(directory.open(EndpointId(1)), "what is up and the unknown are left alone");
+        assert_eq!(endpoints.len(), 3 - usize::from(cut >= told("c")), "one that is gone leaves the table");
+        assert!(endpoints.is_open(EndpointId(1)), "what is up and the unknown are left alone");
     }
 }
 
@@ -269,19 +270,19 @@
 #[test]
 fn what_a_list_bars_ahead_counts_for_servers_that_are_not_known_yet() {
     for status in ["draining", "removed"] {
-        let directory = Directory::new(vec![], Duration::ZERO, Tokio.unix());
+        let endpoints = EndpointTable::new(vec![], Duration::ZERO, Tokio.unix());
         let part = format!(
             r#"{{"index":30,"snapshot":true,"endpoints":[{{"name":"a","address":"127.0.0.1:7","status":"{status}"}},"#
         );
-        assert!(salvaged(&directory, part.as_bytes()).is_empty(), "it is not known");
+        assert!(salvaged(&endpoints, part.as_bytes()).is_empty(), "it is not known");
         let list = |index: u32| {
             let up = |name| json!({"name": name, "address": "127.0.0.1:7", "status": "up"});
             json!({"index": index, "snapshot": true, "endpoints": [up("a"), up("b")]})
         };
-        let older = taken(&directory, &list(29)).expect("a list");
-        assert_eq!((older.entries.len(), directory.len()), (1, 1), "b alone is open");
-        assert_eq!(taken(&directory, &list(30)).expect("a list").entries.len(), 2);
-        assert_eq!(directory.len(), 2);
+        let older = taken(&endpoints, &list(29)).expect("a list");
+        assert_eq!((older.entries.len(), endpoints.len()), (1, 1), "b alone is open");
+        assert_eq!(taken(&endpoints, &list(30)).expect("a list").entries.len(), 2);
+        assert_eq!(endpoints.len(), 2);
     }
 }
 
@@ -293,9 +294,9 @@
     let news = json!({"index": 2, "snapshot": false, "endpoints": [drains, up("b")]});
     let pretty = serde_json::to_string_pretty(&news).expect("text");
     let fresh = || {
-        let directory = Directory::new(vec![], Duration::ZERO, Tokio.unix());
-        taken(&directory, &known).expect("a list");
-        directory
+        let endpoints = EndpointTable::new(vec![], Duration::ZERO, Tokio.unix());
+        taken(&endpoints, &known).expect("a list");
+        endpoints
     };
     let read = serde_json::from_str(&pretty).expect("JSON");
     assert_eq!(taken(&fresh(), &read).expect("news").entries[0].state, EndpointState::Draining);
@@ -311,53 +312,53 @@
 fn what_the_plan_bars_stays_barred_whatever_discovery_says_and_comes_back_as_discovery_has_it() {
     use cometcroft_plan::WeightAdjustment;
     use std::{cell::Cell, rc::Rc};
-    let directory = Directory::new(vec!["z".into()], Duration::ZERO, Tokio.unix());
+    let endpoints = EndpointTable::new(vec!["z".into()], Duration::ZERO, Tokio.unix());
     let verdict = Rc::new(Cell::new(WeightAdjustment::Excluded));
     let judging = verdict.clone();
-    directory.judge_by(Box::new(move |name, zone, _| {
+    endpoints.set_weight_adjuster(Box::new(move |name, zone, _| {
         if (name, zone) == ("a", "z") { judging.get() } else { WeightAdjustment::Unchanged }
     }));
     let row = |name, status| json!({"name": name, "address": "127.0.0.1:7", "zone": "z", "status": status, "weight": 2.0});
     let list = |index: u32, status| json!({"index": index, "snapshot": true, "endpoints": [row("a", status), row("b", "up")]});
-    let news = taken(&directory, &list(1, "up")).expect("a list");
+    let news = taken(&endpoints, &list(1, "up")).expect("a list");
     assert_eq!(
         (news.entries[0].state, news.entries[1].state),
         (EndpointState::Draining, EndpointState::Ready)
     );
-    let open = |id| directory.open(EndpointId(id));
+    let open = |id| endpoints.is_open(EndpointId(id));
     assert!(!open(0) && open(1), "a bar has no grace, and bars nobody else");
-    assert!(directory.judge().is_empty(), "nothing has changed");
+    assert!(endpoints.refresh_adjustments().is_empty(), "nothing has changed");
     verdict.set(WeightAdjustment::Scaled(0.5));
-    let back = directory.judge();
+    let back = endpoints.refresh_adjustments();
     assert_eq!((back.len(), back[0].state, back[0].weight), (1, EndpointState::Ready, 1.0));
     assert!(open(0));
     // Discovery is stricter: no verdict opens what it drains.
-    taken(&directory, &list(2, "draining")).expect("a list");
+    taken(&endpoints, &list(2, "draining")).expect("a list");
     verdict.set(WeightAdjustment::Unchanged);
-    assert_eq!(directory.judge()[0].state, EndpointState::Draining);
+    assert_eq!(endpoints.refresh_adjustments()[0].state, EndpointState::Draining);
 }
 
 #[test]
-fn the_directory_holds_only_what_is_listed() {
-    let directory = Directory::new(vec![], Duration::ZERO, Tokio.unix());
+fn the_endpoint_table_holds_only_what_is_listed() {
+    let endpoints = EndpointTable::new(vec![], Duration::ZERO, Tokio.unix());
     let entry =
         |n: u32, status: &str| json!({"name": n.to_string(), "address": "127.0.0.1:1", "status": status});
     for n in 0..1000u32 {
         let changes = json!([entry(n, "up"), entry(n.wrapping_sub(1), "removed")]);
         let list = json!({"index": n, "snapshot": false, "endpoints": changes});
-        assert_eq!(taken(&directory, &list).expect("a list").entries.len(), 1 + usize::from(n > 0));
-        assert_eq!(directory.len(), 1);
+        assert_eq!(taken(&endpoints, &list).expect("a list").entries.len(), 1 + usize::from(n > 0));
+        assert_eq!(endpoints.len(), 1);
     }
-    assert!(directory.open(EndpointId(999)) && !directory.open(EndpointId(998)));
+    assert!(endpoints.is_open(EndpointId(999)) && !endpoints.is_open(EndpointId(998)));
 }
 
 #[test]
 fn a_start_keeps_its_time_on_the_clock() {
-    let directory = Directory::new(vec![], Duration::from_secs(3600), Tokio.unix());
+    let endpoints = EndpointTable::new(vec![], Duration::from_secs(3600), Tokio.unix());
     let unix = Tokio.unix();
     let list = json!({"index": 1, "snapshot": true, "endpoints": [{"name": "x", "address": "127.0.0.1:1",
         "zone": "?", "status": "up", "since_ms": unix.as_millis() as u64}]});
-    let started = || taken(&directory, &list).expect("a list").entries[0].started;
+    let started = || taken(&endpoints, &list).expect("a list").entries[0].started;
     // The module takes another start for another process, so reading it again must not move it.
     assert_eq!(started(), started());
     assert!(started().is_some_and(|at| at > Duration::from_secs(3000)));
@@ -378,9 +379,9 @@
 #[test]
 fn a_report_holds_what_the_settings_name() {
     let fields = [Field::Inflight, Field::Queue];
-    let read = report(br#"{"inflight":7,"queue":2,"util":0.61,"new":"x"}"#, &fields).expect("a report");
+    let read = parse_report(br#"{"inflight":7,"queue":2,"util":0.61,"new":"x"}"#, &fields).expect("a report");
     assert_eq!((read.inflight, read.queue, read.utilization), (Some(7.0), Some(2.0), None));
-    assert_eq!(report(&Bytes::from_static(b"{"), &fields), None);
+    assert_eq!(parse_report(&Bytes::from_static(b"{"), &fields), None);
 }
 
 #[test]
