--- a/crates/emulator/src/sabotage.rs
+++ b/crates/emulator/src/sabotage.rs
@@ -4,10 +4,10 @@
 use crate::platform::Emulated;
 use cometcroft::{EndpointId, Outcome};
 use cometcroft_platform::Platform;
-use cometcroft_sidecar::backend::Lease;
-use cometcroft_sidecar::dispatch::{HttpCarrier, Payload};
-use cometcroft_sidecar::exchange::Reply;
-use cometcroft_sidecar::session::{Carrier, Ended, Later, Probed};
+use cometcroft_sidecar::attempt::{ForwardedRequest, PooledTransport};
+use cometcroft_sidecar::exchange::EndpointResponse;
+use cometcroft_sidecar::pool::PooledConnection;
+use cometcroft_sidecar::requests::{AttemptResult, LocalBoxFuture, ProbeResult, Transport};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -65,40 +65,40 @@
 /// A carrier with a defect.
 pub struct Saboteur {
     /// The sound one.
-    pub inner: HttpCarrier<Sim>,
+    pub inner: PooledTransport<Sim>,
     /// The defect.
     pub defect: Defect,
     /// The answer that was kept.
-    pub kept: Rc<RefCell<Option<Reply>>>,
+    pub kept: Rc<RefCell<Option<EndpointResponse>>>,
     /// Connections that were kept.
-    pub hoard: Rc<RefCell<Vec<Lease<Sim>>>>,
+    pub hoard: Rc<RefCell<Vec<PooledConnection<Sim>>>>,
     /// The newest backend server, and when it was first sent to.
     pub newest: Cell<Option<(EndpointId, Instant)>>,
 }
 
 impl Saboteur {
     /// A sound carrier with a defect.
-    pub fn new(inner: HttpCarrier<Sim>, defect: Defect) -> Saboteur {
+    pub fn new(inner: PooledTransport<Sim>, defect: Defect) -> Saboteur {
         Saboteur { inner, defect, kept: Rc::default(), hoard: Rc::default(), newest: Cell::new(None) }
     }
 }
 
-impl Carrier for Saboteur {
+impl Transport for Saboteur {
     type Platform = Sim;
-    type Payload = Rc<Payload>;
-    type Answer = Reply;
+    type Payload = Rc<ForwardedRequest>;
+    type Response = EndpointResponse;
 
     fn platform(&self) -> &Sim {
         self.inner.platform()
     }
 
-    fn dispatch(
+    fn send_attempt(
         &self,
         to: EndpointId,
-        payload: Rc<Payload>,
+        payload: Rc<ForwardedRequest>,
         timeout: Duration,
-        latest: Option<Instant>,
-    ) -> Later<Ended<Reply>> {
+        write_by: Option<Instant>,
+    ) -> LocalBoxFuture<AttemptResult<EndpointResponse>> {
         let now = self.platform().now();
         if self.newest.get().is_none_or(|(newest, _)| to > newest) {
             self.newest.set(Some((to, now)));
@@ -111,7 +111,7 @@
             }
             _ => to,
         };
-        let sound = self.inner.dispatch(to, payload.clone(), timeout, latest);
+        let sound = self.inner.send_attempt(to, payload.clone(), timeout, write_by);
         match self.defect {
             Defect::ResendsWhatRan => Box::pin(async move {
                 let mut ended = sound.await;
@@ -121,7 +121,7 @@
                 ended
             }),
             Defect::TwoAtOnce => {
-                let other = self.inner.dispatch(to, payload, timeout, latest);
+                let other = self.inner.send_attempt(to, payload, timeout, write_by);
                 Box::pin(async move {
                     tokio::select! {
                         biased;
@@ -137,9 +137,9 @@
                     if ended.outcome == Outcome::Ok {
                         let before = kept.borrow_mut().take();
                         if before.is_some() {
-                            ended.answer = before;
+                            ended.response = before;
                         } else {
-                            *kept.borrow_mut() = ended.answer.clone();
+                            *kept.borrow_mut() = ended.response.clone();
                         }
                     }
                     ended
@@ -164,7 +164,7 @@
         }
     }
 
-    fn probe(&self, to: EndpointId) -> Later<Probed> {
+    fn probe(&self, to: EndpointId) -> LocalBoxFuture<ProbeResult> {
         self.inner.probe(to)
     }
 
--- a/crates/platformfaults/src/defects.rs
+++ b/crates/platformfaults/src/defects.rs
@@ -2,11 +2,11 @@
 
 use cometcroft::{EndpointId, Outcome};
 use cometcroft_platform::Platform;
-use cometcroft_sidecar::dispatch::Payload;
-use cometcroft_sidecar::exchange::{Reply, Rest};
-use cometcroft_sidecar::frontend::HttpBackend;
-use cometcroft_sidecar::http::client::{Bulk, forward};
-use cometcroft_sidecar::session::{Carrier, Ended, Later, Probed};
+use cometcroft_sidecar::attempt::ForwardedRequest;
+use cometcroft_sidecar::exchange::{EndpointResponse, RemainingBody};
+use cometcroft_sidecar::frontend::HttpTransport;
+use cometcroft_sidecar::http::client::{StreamedBody, encode_request};
+use cometcroft_sidecar::requests::{AttemptResult, LocalBoxFuture, ProbeResult, Transport};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -34,15 +34,15 @@
     endpoint: SocketAddr,
 }
 
-impl<C: HttpBackend> Spoilt<C> {
+impl<C: HttpTransport> Spoilt<C> {
     /// This carrier with a defect; `endpoint` is where it goes wrong.
     pub fn new(inner: C, defect: Option<Defect>, endpoint: SocketAddr) -> Spoilt<C> {
         Spoilt { inner: Rc::new(inner), defect, endpoint }
     }
 
-    fn send_besides(&self, payload: &Payload, timeout: Duration) {
+    fn send_besides(&self, payload: &ForwardedRequest, timeout: Duration) {
         let (platform, endpoint) = (self.inner.platform().clone(), self.endpoint);
-        let message = forward(&payload.request, timeout);
+        let message = encode_request(&payload.request, timeout);
         self.inner.platform().detach(async move {
             if let Ok(mut stream) = platform.connect(endpoint).await
                 && stream.write_all(&message).await.is_ok()
@@ -53,51 +53,53 @@
     }
 }
 
-impl<C: HttpBackend> Carrier for Spoilt<C> {
+impl<C: HttpTransport> Transport for Spoilt<C> {
     type Platform = C::Platform;
-    type Payload = Rc<Payload>;
-    type Answer = Reply;
+    type Payload = Rc<ForwardedRequest>;
+    type Response = EndpointResponse;
 
     fn platform(&self) -> &C::Platform {
         self.inner.platform()
     }
 
-    fn dispatch(
+    fn send_attempt(
         &self,
         to: EndpointId,
-        payload: Rc<Payload>,
+        payload: Rc<ForwardedRequest>,
         timeout: Duration,
-        latest: Option<Instant>,
-    ) -> Later<Ended<Reply>> {
-        let class = payload.request.class().to_vec();
+        write_by: Option<Instant>,
+    ) -> LocalBoxFuture<AttemptResult<EndpointResponse>> {
+        let class = payload.request.class_name().to_vec();
         match self.defect {
-            None => self.inner.dispatch(to, payload, timeout, latest),
-            Some(Defect::BudgetStretched) => self.inner.dispatch(to, payload, timeout + STRETCH, latest),
+            None => self.inner.send_attempt(to, payload, timeout, write_by),
+            Some(Defect::BudgetStretched) => {
+                self.inner.send_attempt(to, payload, timeout + STRETCH, write_by)
+            }
             Some(Defect::SentAfterDrain) => {
                 if class == b"plan" {
                     self.send_besides(&payload, timeout);
                 }
-                self.inner.dispatch(to, payload, timeout, latest)
+                self.inner.send_attempt(to, payload, timeout, write_by)
             }
             Some(Defect::SentTwice) => {
                 let inner = self.inner.clone();
                 Box::pin(async move {
-                    let ended = inner.dispatch(to, payload.clone(), timeout, latest).await;
+                    let ended = inner.send_attempt(to, payload.clone(), timeout, write_by).await;
                     if class == b"book" && ended.outcome == Outcome::Ok {
-                        return inner.dispatch(to, payload, timeout, latest).await;
+                        return inner.send_attempt(to, payload, timeout, write_by).await;
                     }
                     ended
                 })
             }
             Some(Defect::AnswerDropped) => {
-                let dispatched = self.inner.dispatch(to, payload, timeout, latest);
+                let dispatched = self.inner.send_attempt(to, payload, timeout, write_by);
                 Box::pin(async move {
                     let mut ended = dispatched.await;
                     if class == b"plan"
-                        && let Some(reply) = &mut ended.answer
+                        && let Some(reply) = &mut ended.response
                     {
-                        reply.answer.bulk = Some(Bulk { length: None });
-                        reply.rest = Rest::default();
+                        reply.response.streamed = Some(StreamedBody { length: None });
+                        reply.remaining_body = RemainingBody::default();
                     }
                     ended
                 })
@@ -105,7 +107,7 @@
         }
     }
 
-    fn probe(&self, to: EndpointId) -> Later<Probed> {
+    fn probe(&self, to: EndpointId) -> LocalBoxFuture<ProbeResult> {
         self.inner.probe(to)
     }
 
--- a/crates/sidecar/src/accord.rs
+++ b/crates/sidecar/src/accord.rs
@@ -557,7 +557,7 @@
         after: Option<RetryCause>,
         part: impl FnOnce() -> f64,
     ) -> bool {
-        let class = std::str::from_utf8(request.class()).unwrap_or_default();
+        let class = std::str::from_utf8(request.class_name()).unwrap_or_default();
         let caller = request.headers.single("x-caller").ok().flatten();
         let tenant = caller.and_then(|caller| std::str::from_utf8(caller).ok());
         self.tries(class, tenant, first, after, part)
--- a/crates/sidecar/src/dispatch.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -1,12 +1,14 @@
 //! Dispatches and probes over HTTP: what the session host asks for, and what came of it.
 
 use crate::counters::count;
-use crate::exchange::{Ends, Exchanger, Lack, Reply, Stage, outcome, without_answer};
+use crate::exchange::{
+    Deadlines, EndpointResponse, Exchanger, NoResponse, Stage, outcome_without_response, response_outcome,
+};
 use crate::fleet::Fleet;
 use crate::http::client;
 use crate::http::server::Request;
 use crate::probe;
-use crate::session::{Carrier, Ended, Later, Probed};
+use crate::requests::{AttemptResult, LocalBoxFuture, ProbeResult, Transport};
 use crate::upload::Upload;
 use cometcroft::{ClassId, EndpointId, Outcome};
 use cometcroft_plan::RetryCause;
@@ -19,7 +21,7 @@
 
 /// What a dispatch carries.
 #[derive(Debug)]
-pub struct Payload {
+pub struct ForwardedRequest {
     /// The request as it came.
     pub request: Request,
     /// Its class.
@@ -27,14 +29,14 @@
     /// Its body, if that is not part of the request.
     pub upload: Option<Upload>,
     /// Attempts that were begun.
-    pub begun: Cell<u32>,
+    pub attempts_started: Cell<u32>,
     /// How the last of them ended, if it did not succeed.
-    pub ended: Cell<Option<RetryCause>>,
+    pub last_failure: Cell<Option<RetryCause>>,
 }
 
 /// Brings dispatches and probes to backend servers over HTTP.
 #[derive(Clone)]
-pub struct HttpCarrier<P: Platform> {
+pub struct PooledTransport<P: Platform> {
     /// Connections, and where they lead.
     pub exchanger: Exchanger<P>,
     /// The values that load reports hold.
@@ -43,47 +45,47 @@
     pub fleet: Option<Rc<Fleet<P>>>,
 }
 
-impl<P: Platform> Carrier for HttpCarrier<P> {
+impl<P: Platform> Transport for PooledTransport<P> {
     type Platform = P;
-    type Payload = Rc<Payload>;
-    type Answer = Reply;
+    type Payload = Rc<ForwardedRequest>;
+    type Response = EndpointResponse;
 
     fn platform(&self) -> &P {
         self.exchanger.pool.platform()
     }
 
-    fn dispatch(
+    fn send_attempt(
         &self,
         to: EndpointId,
-        payload: Rc<Payload>,
+        payload: Rc<ForwardedRequest>,
         timeout: Duration,
-        latest: Option<Instant>,
-    ) -> Later<Ended<Reply>> {
-        let carrier = self.clone();
+        write_by: Option<Instant>,
+    ) -> LocalBoxFuture<AttemptResult<EndpointResponse>> {
+        let transport = self.clone();
         Box::pin(async move {
             let span = tracing::debug_span!(
                 "attempt",
                 request = payload.request.id(),
-                number = payload.begun.get() + 1
+                number = payload.attempts_started.get() + 1
             );
-            let ends = carrier.platform().now() + timeout;
-            let ended = carrier.attempt(to, &payload, ends, latest).instrument(span.clone()).await;
-            let endpoint = carrier.exchanger.directory.address(to).map(tracing::field::display);
+            let end = transport.platform().now() + timeout;
+            let ended = transport.attempt(to, &payload, end, write_by).instrument(span.clone()).await;
+            let endpoint = transport.exchanger.directory.address(to).map(tracing::field::display);
             span.in_scope(|| tracing::debug!(endpoint, outcome = ?ended.outcome, "attempt ended"));
-            payload.ended.set(happened(ended.outcome).or(payload.ended.get()));
+            payload.last_failure.set(retry_cause(ended.outcome).or(payload.last_failure.get()));
             ended
         })
     }
 
-    fn probe(&self, to: EndpointId) -> Later<Probed> {
-        let carrier = self.clone();
+    fn probe(&self, to: EndpointId) -> LocalBoxFuture<ProbeResult> {
+        let transport = self.clone();
         Box::pin(async move {
-            if carrier.fleet.as_ref().is_some_and(|fleet| !fleet.probes()) {
-                count(&carrier.exchanger.counters.probes_barred);
+            if transport.fleet.as_ref().is_some_and(|fleet| !fleet.probes()) {
+                count(&transport.exchanger.counters.probes_barred);
                 return (Outcome::NotSent, None);
             }
-            let fields = carrier.fields.borrow().clone();
-            probe::ask(&carrier.exchanger, &fields, to).await
+            let fields = transport.fields.borrow().clone();
+            probe::ask(&transport.exchanger, &fields, to).await
         })
     }
 
@@ -93,7 +95,7 @@
 }
 
 /// What policies on retries call an outcome.
-fn happened(outcome: Outcome) -> Option<RetryCause> {
+fn retry_cause(outcome: Outcome) -> Option<RetryCause> {
     match outcome {
         Outcome::Rejected => Some(RetryCause::Rejected),
         Outcome::ConnectFailed => Some(RetryCause::NeverConnected),
@@ -104,32 +106,32 @@
     }
 }
 
-impl<P: Platform> HttpCarrier<P> {
+impl<P: Platform> PooledTransport<P> {
     async fn attempt(
         &self,
         to: EndpointId,
-        payload: &Payload,
-        ends: Instant,
-        latest: Option<Instant>,
-    ) -> Ended<Reply> {
+        payload: &ForwardedRequest,
+        end: Instant,
+        write_by: Option<Instant>,
+    ) -> AttemptResult<EndpointResponse> {
         let stage = Cell::new(Stage::Unwritten);
         let platform = self.platform();
         // Danger: a body of which a part is gone would go out with a hole; nothing is sent, and said so.
-        if payload.upload.as_ref().is_some_and(Upload::spent) {
-            return Ended { outcome: Outcome::NotSent, report: None, answer: None };
+        if payload.upload.as_ref().is_some_and(Upload::has_discarded) {
+            return AttemptResult { outcome: Outcome::NotSent, report: None, response: None };
         }
-        let first = payload.begun.replace(payload.begun.get() + 1) == 0;
+        let first = payload.attempts_started.replace(payload.attempts_started.get() + 1) == 0;
         if let Some(fleet) = &self.fleet
-            && !fleet.attempts(&payload.request, first, payload.ended.get())
+            && !fleet.attempts(&payload.request, first, payload.last_failure.get())
         {
             count(&self.exchanger.counters.retries_barred);
-            return Ended { outcome: Outcome::NotSent, report: None, answer: None };
+            return AttemptResult { outcome: Outcome::NotSent, report: None, response: None };
         }
         let message = || {
-            let wait = ends.saturating_duration_since(platform.now());
+            let wait = end.saturating_duration_since(platform.now());
             match &payload.upload {
-                None => client::forward(&payload.request, wait),
-                Some(upload) => client::forward_head(&payload.request, wait, upload.framing()),
+                None => client::encode_request(&payload.request, wait),
+                Some(upload) => client::encode_request_head(&payload.request, wait, upload.declared_length()),
             }
         };
         let written = || {
@@ -137,22 +139,26 @@
             self.exchanger.counters.figures.relay(payload.class);
         };
         let exchange =
-            self.exchanger.run(to, message, payload.upload.as_ref(), Ends { ends, latest }, written);
-        let answered = platform.timeout_at(ends, exchange).await;
+            self.exchanger.run(to, message, payload.upload.as_ref(), Deadlines { end, write_by }, written);
+        let answered = platform.timeout_at(end, exchange).await;
         let unanswered = |lack| {
-            if lack == Lack::Spoilt {
+            if lack == NoResponse::InvalidResponse {
                 count(&self.exchanger.counters.answers_spoilt);
             }
-            Ended { outcome: without_answer(stage.get(), lack), report: None, answer: None }
+            AttemptResult {
+                outcome: outcome_without_response(stage.get(), lack),
+                report: None,
+                response: None,
+            }
         };
         match answered {
             Ok(Ok(reply)) => {
                 let report =
-                    reply.answer.report().and_then(|text| probe::report(text, &self.fields.borrow()));
-                Ended { outcome: outcome(&reply.answer), report, answer: Some(reply) }
+                    reply.response.load_report().and_then(|text| probe::report(text, &self.fields.borrow()));
+                AttemptResult { outcome: response_outcome(&reply.response), report, response: Some(reply) }
             }
             Ok(Err(error)) => unanswered((&error).into()),
-            Err(_) => unanswered(Lack::Late),
+            Err(_) => unanswered(NoResponse::TimedOut),
         }
     }
 }
--- a/crates/sidecar/src/classes.rs
+++ b/crates/sidecar/src/classes.rs
@@ -5,11 +5,11 @@
 
 /// For so long around a change requests come in the old form and in the new. New settings are in use after 1.2 s, and
 /// what was sent until then may be slow to come.
-pub const AROUND: Duration = Duration::from_secs(4);
+pub const CHANGE_OVERLAP: Duration = Duration::from_secs(4);
 
 /// The form of a request, which shows what its sender takes its class for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
+pub enum RequestForm {
     /// A GET without a body.
     Plain,
     /// A POST with a key.
@@ -18,23 +18,23 @@
     Unkeyed,
 }
 
-impl Form {
+impl RequestForm {
     /// The form of a request; none where it has that of no class.
-    pub fn of(method: &[u8], body: bool, key: Option<&[u8]>) -> Option<Form> {
+    pub fn of(method: &[u8], body: bool, key: Option<&[u8]>) -> Option<RequestForm> {
         match (method, key) {
-            (b"GET", _) if !body => Some(Form::Plain),
+            (b"GET", _) if !body => Some(RequestForm::Plain),
             // Danger: a keyed request without its key is as unsafe to repeat as any.
-            (b"POST", Some(key)) => (!key.is_empty()).then_some(Form::Keyed),
-            (b"POST", None) => Some(Form::Unkeyed),
+            (b"POST", Some(key)) => (!key.is_empty()).then_some(RequestForm::Keyed),
+            (b"POST", None) => Some(RequestForm::Unkeyed),
             _ => None,
         }
     }
 
-    fn due(effect: Effect) -> Form {
+    fn due(effect: Effect) -> RequestForm {
         match effect {
-            Effect::Safe => Form::Plain,
-            Effect::Keyed { .. } => Form::Keyed,
-            Effect::Unsafe => Form::Unkeyed,
+            Effect::Safe => RequestForm::Plain,
+            Effect::Keyed { .. } => RequestForm::Keyed,
+            Effect::Unsafe => RequestForm::Unkeyed,
         }
     }
 }
@@ -62,20 +62,25 @@
 
 /// All classes by number. A number stands for one class as long as anything refers to it.
 #[derive(Debug, Default)]
-pub struct Register {
+pub struct ClassRegistry {
     slots: Vec<Slot>,
 }
 
-impl Register {
+impl ClassRegistry {
     /// A register of these classes, numbered in their order.
-    pub fn new(names: &[String], classes: &[RequestClass]) -> Register {
+    pub fn new(names: &[String], classes: &[RequestClass]) -> ClassRegistry {
         let slots = names.iter().zip(classes).map(|(name, class)| Slot::of(name, class.clone()));
-        Register { slots: slots.collect() }
+        ClassRegistry { slots: slots.collect() }
     }
 
     /// New settings: these classes are in force from `now` on. For each number, the one that it continues: itself where
     /// nothing changes, the class of its name as it was before, or none.
-    pub fn take(&mut self, names: &[String], classes: &[RequestClass], now: Instant) -> Vec<Option<ClassId>> {
+    pub fn apply_settings(
+        &mut self,
+        names: &[String],
+        classes: &[RequestClass],
+        now: Instant,
+    ) -> Vec<Option<ClassId>> {
         let before = self.slots.len();
         let mut from: Vec<_> = (0..before).map(|number| Some(ClassId(number))).collect();
         for (number, slot) in self.slots.iter_mut().enumerate().filter(|(_, s)| s.retired.is_none()) {
@@ -112,7 +117,7 @@
         from: &mut Vec<Option<ClassId>>,
         now: Instant,
     ) {
-        let over = |s: &Slot| s.held == 0 && s.retired.is_some_and(|at| now >= at + AROUND);
+        let over = |s: &Slot| s.held == 0 && s.retired.is_some_and(|at| now >= at + CHANGE_OVERLAP);
         match self.slots.iter().position(over) {
             Some(free) => (self.slots[free], from[free]) = (slot, continues),
             None => {
@@ -123,16 +128,16 @@
     }
 
     /// The number of a request's class, by the name and the form that it came with.
-    pub fn find(&self, name: &[u8], form: Form, now: Instant) -> Option<ClassId> {
+    pub fn find(&self, name: &[u8], form: RequestForm, now: Instant) -> Option<ClassId> {
         let of_name = || self.slots.iter().enumerate().filter(|(_, s)| s.name.as_bytes() == name);
-        let current = |s: &Slot| s.retired.is_none_or(|at| now < at + AROUND);
+        let current = |s: &Slot| s.retired.is_none_or(|at| now < at + CHANGE_OVERLAP);
         let valid = || of_name().filter(|(_, s)| current(s) && !s.interim);
-        if !valid().any(|(_, s)| Form::due(s.class.effect) == form) {
+        if !valid().any(|(_, s)| RequestForm::due(s.class.effect) == form) {
             return None;
         }
         let strict = valid().max_by_key(|(_, s)| (strictness(s.class.effect), s.retired));
-        let strict =
-            strict.filter(|(_, s)| s.class.effect == Effect::Unsafe || Form::due(s.class.effect) == form);
+        let strict = strict
+            .filter(|(_, s)| s.class.effect == Effect::Unsafe || RequestForm::due(s.class.effect) == form);
         let found = strict.or_else(|| of_name().find(|(_, s)| s.interim && current(s)));
         found.map(|(number, _)| ClassId(number))
     }
--- a/crates/sidecar/src/dial.rs
+++ b/crates/sidecar/src/dial.rs
@@ -36,7 +36,7 @@
     }
 
     /// New settings.
-    pub fn retune(&self, connect_timeout: Duration) {
+    pub fn set_connect_timeout(&self, connect_timeout: Duration) {
         self.connect_timeout.set(connect_timeout);
     }
 
--- a/crates/sidecar/src/discovery/call.rs
+++ b/crates/sidecar/src/discovery/call.rs
@@ -3,8 +3,8 @@
 
 use super::abandonment::Abandonment;
 use crate::endpoint_list::{EndpointList, EndpointRecord, ListError, ListReader};
-use crate::http::client::{self, Exchange};
-use crate::http::{Fault, Piece};
+use crate::http::client::{self, ResponseReader};
+use crate::http::{BodyPiece, ParseError};
 use crate::notices::Notices;
 use crate::sockets::send_promptly;
 use bytes::{Bytes, BytesMut};
@@ -125,7 +125,7 @@
         Err(_) => return Ended::unanswered(Outcome::Silent),
     };
     notices.expect_on(&stream);
-    let (exchange, list) = (Exchange::streamed(MAX_LIST), ListReader::default());
+    let (exchange, list) = (ResponseReader::streamed(MAX_LIST), ListReader::default());
     let mut answer = Answer {
         platform,
         stream,
@@ -160,7 +160,7 @@
         None => platform.timeout(CONNECT, platform.connect(question.address)).await??,
     };
     send_promptly(&stream);
-    stream.write_all(&client::get(&question.target, "discovery")).await?;
+    stream.write_all(&client::encode_get(&question.target, "discovery")).await?;
     Ok(stream)
 }
 
@@ -207,7 +207,7 @@
     platform: &'a P,
     /// Shared with those who ask whether anything on it is unread; borrowed for one call at a time.
     stream: Rc<RefCell<P::Stream>>,
-    exchange: Exchange,
+    exchange: ResponseReader,
     list: ListReader,
     /// When its first byte was read.
     first_byte: Option<Instant>,
@@ -247,7 +247,7 @@
 
     /// More bytes; 0 at the end of the connection.
     async fn read(&mut self, until: Instant) -> Result<usize, End> {
-        if !self.exchange.begun() {
+        if !self.exchange.has_begun() {
             let read = self.read_first(until).await.map_err(|_| End::Silent)?;
             return read.map_err(|_| End::Unreachable);
         }
@@ -280,11 +280,11 @@
     }
 
     /// Takes what has come; tells how the answer ended, if it has.
-    fn look(&mut self, ended: bool) -> Result<Option<End>, Fault> {
+    fn look(&mut self, ended: bool) -> Result<Option<End>, ParseError> {
         let at = self.platform.now();
         if !self.is_list {
             let Some(answer) = self.exchange.step(ended)? else {
-                return Ok((ended && !self.exchange.begun()).then_some(End::Unreachable));
+                return Ok((ended && !self.exchange.has_begun()).then_some(End::Unreachable));
             };
             if answer.status != OK {
                 return Ok(Some(End::Refused));
@@ -293,16 +293,16 @@
             if !self.take(&answer.body, at) {
                 return Ok(Some(End::Broken));
             }
-            if answer.bulk.is_none() {
+            if answer.streamed.is_none() {
                 return Ok(Some(End::Whole));
             }
         }
         loop {
-            match self.exchange.piece(ended)? {
-                Piece::Bytes(bytes) if self.take(&bytes, at) => {}
-                Piece::Bytes(_) => return Ok(Some(End::Broken)),
-                Piece::End => return Ok(Some(End::Whole)),
-                Piece::More => return Ok(None),
+            match self.exchange.next_piece(ended)? {
+                BodyPiece::Bytes(bytes) if self.take(&bytes, at) => {}
+                BodyPiece::Bytes(_) => return Ok(Some(End::Broken)),
+                BodyPiece::End => return Ok(Some(End::Whole)),
+                BodyPiece::More => return Ok(None),
             }
         }
     }
--- a/crates/sidecar/src/discovery/mod.rs
+++ b/crates/sidecar/src/discovery/mod.rs
@@ -14,7 +14,7 @@
 use crate::endpoint_list::{EndpointList, ListError};
 use crate::fleet::Fleet;
 use crate::lifecycle::Life;
-use crate::session::{Carrier, Host};
+use crate::requests::{RequestDriver, Transport};
 use abandonment::{Abandonment, Standing};
 use arrivals::{Bars, Report};
 use call::{Ended, Outcome, Question};
@@ -76,8 +76,8 @@
 
 /// Keeps the list of backend servers as discovery has it, whether lists are asked for or pushed to an agent, from
 /// version `index` on if a list is held. `seed` spreads calls. Runs until it is dropped.
-pub async fn watch<C: Carrier>(
-    host: Rc<Host<C>>,
+pub async fn watch<C: Transport>(
+    host: Rc<RequestDriver<C>>,
     directory: Rc<Directory>,
     source: Rc<Source>,
     life: Rc<Life<C::Platform>>,
@@ -134,11 +134,11 @@
     }
 }
 
-struct Watcher<C: Carrier> {
+struct Watcher<C: Transport> {
     platform: C::Platform,
     origin: Instant,
     counters: Rc<Counters>,
-    host: Rc<Host<C>>,
+    host: Rc<RequestDriver<C>>,
     directory: Rc<Directory>,
     source: Rc<Source>,
     life: Rc<Life<C::Platform>>,
@@ -160,7 +160,7 @@
     report: UnboundedSender<Report<C::Platform>>,
 }
 
-impl<C: Carrier> Watcher<C> {
+impl<C: Transport> Watcher<C> {
     async fn run(mut self, mut reports: UnboundedReceiver<Report<C::Platform>>) {
         let (source, directory) = (self.source.clone(), self.directory.clone());
         directory.freshness().configure(source.manner.get().pushed);
@@ -236,7 +236,7 @@
                 self.schedule.stalled(id, now);
             }
             Report::Barred(entries) => {
-                self.host.tell(Event::EndpointList { scope: ListScope::Changes, entries })
+                self.host.handle_event(Event::EndpointList { scope: ListScope::Changes, entries })
             }
             Report::Ended { id, ended, barred } => self.ended(id, ended, barred),
         }
@@ -326,7 +326,7 @@
                 }
                 let now = self.now();
                 self.schedule.answered(id, now);
-                self.host.tell(Event::EndpointList { scope: news.scope, entries: news.entries });
+                self.host.handle_event(Event::EndpointList { scope: news.scope, entries: news.entries });
                 None
             }
             Taken::Older => {
@@ -346,7 +346,7 @@
     /// Tells the decision module how long the list may be used.
     fn tell_trust(&self) {
         let trust = self.directory.freshness().trust(self.platform.now());
-        self.host.tell(Event::ListValidity(trust));
+        self.host.handle_event(Event::ListValidity(trust));
     }
 
     /// Logs that discovery answers again, or has ceased to.
--- a/crates/sidecar/src/door.rs
+++ b/crates/sidecar/src/door.rs
@@ -5,10 +5,10 @@
 use crate::directory::Directory;
 use crate::figures::Report;
 use crate::fleet::Fleet;
-use crate::frontend::{admit, bid_farewell, refuse};
+use crate::frontend::{accept_connection, close_gracefully, error_response};
 use crate::http::server::{Connection, Request, Status, Step};
 use crate::lifecycle::{Life, Machine};
-use crate::session::{Carrier, Host};
+use crate::requests::{RequestDriver, Transport};
 use crate::sockets::send_promptly;
 use crate::words;
 use cometcroft_platform::Platform;
@@ -61,8 +61,8 @@
 }
 
 /// The door, and what it tells of.
-pub struct Door<C: Carrier> {
-    host: Rc<Host<C>>,
+pub struct Door<C: Transport> {
+    host: Rc<RequestDriver<C>>,
     directory: Rc<Directory>,
     life: Rc<Life<C::Platform>>,
     counters: Rc<Counters>,
@@ -75,12 +75,12 @@
     left: Notify,
 }
 
-type StreamOf<C> = <<C as Carrier>::Platform as Platform>::Stream;
+type StreamOf<C> = <<C as Transport>::Platform as Platform>::Stream;
 
-impl<C: Carrier> Door<C> {
+impl<C: Transport> Door<C> {
     /// A door to what these tell, with so many places.
     pub fn new(
-        host: Rc<Host<C>>,
+        host: Rc<RequestDriver<C>>,
         directory: Rc<Directory>,
         life: Rc<Life<C::Platform>>,
         counters: Rc<Counters>,
@@ -111,7 +111,7 @@
                 }
                 let _ = platform.timeout(Duration::from_millis(10), self.left.notified()).await;
             }
-            let stream = admit(&platform, &listener, &self.counters, || ()).await;
+            let stream = accept_connection(&platform, &listener, &self.counters, || ()).await;
             let door = self.clone();
             self.open.set(self.open.get() + 1);
             platform.detach(async move {
@@ -134,7 +134,7 @@
         if let Some(answer) = answer? {
             count(&self.counters.ops_calls);
             platform.timeout(STALLED, stream.write_all(&answer)).await??;
-            bid_farewell(platform, &mut stream, false).await?;
+            close_gracefully(platform, &mut stream, false).await?;
         }
         Ok(())
     }
@@ -152,8 +152,8 @@
                         read = stream.read_buf(machine.buffer()) => read?,
                         () = wake.notified() => 0,
                         () = platform.sleep_until(until) => {
-                            let half = !machine.idle();
-                            return Ok(half.then(|| refuse(&mut machine, Status::RequestTimeout)));
+                            let half = !machine.is_idle();
+                            return Ok(half.then(|| error_response(&mut machine, Status::RequestTimeout)));
                         }
                     };
                     if read == 0 {
@@ -162,8 +162,8 @@
                 }
                 Step::Continue(bytes) => stream.write_all(bytes).await?,
                 Step::Request(request) => return Ok(Some(self.answer(&mut machine, &request).await)),
-                Step::Upload(..) => return Ok(Some(refuse(&mut machine, Status::TooLarge))),
-                Step::Reject(status) => return Ok(Some(refuse(&mut machine, status))),
+                Step::Upload(..) => return Ok(Some(error_response(&mut machine, Status::TooLarge))),
+                Step::Reject(status) => return Ok(Some(error_response(&mut machine, status))),
             }
         }
     }
@@ -179,7 +179,7 @@
                 (status, allow.unwrap_or_default(), String::new())
             }
         };
-        let mut message = machine.answer(status, &extra, body.len(), true);
+        let mut message = machine.response_head(status, &extra, body.len(), true);
         message.extend_from_slice(body.as_bytes());
         message
     }
@@ -230,7 +230,7 @@
                 .map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             bar_delay_longest_us: self.counters.bar_delay_longest_us.get(),
             late_sends_barred: self.counters.dispatch_barred.get(),
-            out_of_rotation: self.host.avoided(),
+            out_of_rotation: self.host.avoided_count(),
             cfg_accepted: self.counters.reloads.get(),
             cfg_invalid: self.counters.reload_failures.get(),
         }
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -1,13 +1,13 @@
 //! One request to a backend server and its answer: a connection, the request written whole, the answer read whole,
 //! and what its end says about whether the request has run.
 
-use crate::backend::{Lease, Pool};
 use crate::counters::{Counters, count, invariant};
 use crate::directory::Directory;
 use crate::freshness;
-use crate::http::client::{Answer, Exchange};
-use crate::http::server::Coding;
-use crate::http::{Fault, MAX_BULK, Piece};
+use crate::http::client::{Response, ResponseReader};
+use crate::http::server::BodyCoding;
+use crate::http::{BodyPiece, MAX_STREAMED_BODY, ParseError};
+use crate::pool::{ConnectionPool, PooledConnection};
 use crate::upload::Upload;
 use bytes::Bytes;
 use cometcroft::{EndpointId, Outcome};
@@ -35,42 +35,42 @@
 
 /// Why an attempt got no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lack {
+pub enum NoResponse {
     /// Our time for it ran out.
-    Late,
+    TimedOut,
     /// Its connection broke.
-    Broken,
+    ConnectionLost,
     /// What came can't be the answer to it.
-    Spoilt,
+    InvalidResponse,
     /// It was not sent for a reason of ours: it says nothing of the backend server.
-    Barred,
+    NotSent,
 }
 
-impl From<&io::Error> for Lack {
-    fn from(error: &io::Error) -> Lack {
+impl From<&io::Error> for NoResponse {
+    fn from(error: &io::Error) -> NoResponse {
         match error.kind() {
-            io::ErrorKind::InvalidData => Lack::Spoilt,
-            io::ErrorKind::QuotaExceeded => Lack::Barred,
-            _ => Lack::Broken,
+            io::ErrorKind::InvalidData => NoResponse::InvalidResponse,
+            io::ErrorKind::QuotaExceeded => NoResponse::NotSent,
+            _ => NoResponse::ConnectionLost,
         }
     }
 }
 
 /// What an attempt that got no answer proves.
-pub fn without_answer(stage: Stage, lack: Lack) -> Outcome {
+pub fn outcome_without_response(stage: Stage, lack: NoResponse) -> Outcome {
     match (stage, lack) {
-        (_, Lack::Barred) => Outcome::NotSent,
+        (_, NoResponse::NotSent) => Outcome::NotSent,
         (Stage::Unwritten, _) => Outcome::ConnectFailed,
-        (Stage::Written, Lack::Late) => Outcome::Timeout,
-        (Stage::Written, Lack::Broken) => Outcome::Reset,
+        (Stage::Written, NoResponse::TimedOut) => Outcome::Timeout,
+        (Stage::Written, NoResponse::ConnectionLost) => Outcome::Reset,
         // Danger: taken for a reset it would tell of dead connections and of requests that kill whoever runs
         // them; but the machine is alive and has answered, if badly.
-        (Stage::Written, Lack::Spoilt) => Outcome::Error,
+        (Stage::Written, NoResponse::InvalidResponse) => Outcome::Error,
     }
 }
 
 /// What an answer means.
-pub fn outcome(answer: &Answer) -> Outcome {
+pub fn response_outcome(answer: &Response) -> Outcome {
     match answer.status {
         200 => Outcome::Ok,
         _ if answer.rejected() => Outcome::Rejected,
@@ -82,7 +82,7 @@
 #[derive(Clone)]
 pub struct Exchanger<P: Platform> {
     /// Connections.
-    pub pool: Rc<Pool<P>>,
+    pub pool: Rc<ConnectionPool<P>>,
     /// Where the backend servers are, and which of them drain.
     pub directory: Rc<Directory>,
     /// What is counted.
@@ -97,15 +97,15 @@
         to: EndpointId,
         message: impl FnOnce() -> Bytes,
         upload: Option<&Upload>,
-        Ends { ends, latest }: Ends,
+        Deadlines { end, write_by }: Deadlines,
         written: impl FnOnce(),
-    ) -> io::Result<Reply> {
+    ) -> io::Result<EndpointResponse> {
         let address = self.directory.address(to).ok_or(io::ErrorKind::AddrNotAvailable)?;
         let platform = self.pool.platform();
-        let bounded = latest.map_or(ends, |latest| latest.min(ends));
+        let bounded = write_by.map_or(end, |write_by| write_by.min(end));
         let lease = self.pool.get(to, address, bounded).await;
         // Danger: a connection may come up, or a body be written, when a repeat is not dropped any more.
-        if latest.is_some_and(|latest| platform.now() >= latest) {
+        if write_by.is_some_and(|write_by| platform.now() >= write_by) {
             return Err(self.outlived());
         }
         let mut lease = lease?;
@@ -116,7 +116,8 @@
             let (written, began) = self.write_first(to, &mut lease, &message).await?;
             lease.stream.write_all(&message[written..]).await?;
             if let Some(upload) = upload {
-                let coding = if upload.framing().is_some() { Coding::Plain } else { Coding::Chunked };
+                let coding =
+                    if upload.declared_length().is_some() { BodyCoding::Plain } else { BodyCoding::Chunked };
                 let mut at = 0;
                 while let Some(piece) = upload.piece(at).await {
                     lease.stream.write_all(&coding.frame(&piece)).await?;
@@ -126,26 +127,26 @@
             }
             Ok::<Instant, io::Error>(began)
         };
-        let began = match latest {
+        let began = match write_by {
             None => whole.await?,
-            Some(latest) => platform.timeout_at(latest, whole).await.map_err(|_| self.outlived())??,
+            Some(write_by) => platform.timeout_at(write_by, whole).await.map_err(|_| self.outlived())??,
         };
         written();
-        let mut exchange = Exchange::delimited(MAX_BULK);
+        let mut exchange = ResponseReader::delimited(MAX_STREAMED_BODY);
         let answer = read_answer(self.pool.platform(), &mut lease.stream, &mut exchange, STALLED).await?;
         self.directory.answered(to, began, answer.rejected(), platform.now());
-        let bulk = answer.bulk.is_some();
+        let bulk = answer.streamed.is_some();
         if !bulk && exchange.reusable() {
             self.pool.put(to, lease);
-            return Ok(Reply { answer, rest: Rest::default() });
+            return Ok(EndpointResponse { response: answer, remaining_body: RemainingBody::default() });
         }
         // Only an answer that is passed on is read to its end.
-        let rest = Rest::default();
+        let rest = RemainingBody::default();
         if bulk && answer.status == 200 {
             let pool = self.pool.clone();
-            rest.0.replace(Some(Box::new(Remainder { pool, to, lease: Some(lease), exchange })));
+            rest.0.replace(Some(Box::new(StreamingBody { pool, to, lease: Some(lease), exchange })));
         }
-        Ok(Reply { answer, rest })
+        Ok(EndpointResponse { response: answer, remaining_body: rest })
     }
 
     /// Waits until what has come of discovery is read: this process may have been held up, and find a notice and the
@@ -166,7 +167,7 @@
     async fn write_first(
         &self,
         to: EndpointId,
-        lease: &mut Lease<P>,
+        lease: &mut PooledConnection<P>,
         message: &[u8],
     ) -> io::Result<(usize, Instant)> {
         let address = lease.address();
@@ -232,71 +233,71 @@
 
 /// When an attempt ends, and by when it is written whole or not at all.
 #[derive(Debug, Clone, Copy)]
-pub struct Ends {
+pub struct Deadlines {
     /// It is given up then.
-    pub ends: Instant,
+    pub end: Instant,
     /// From then on its repeat may not be dropped.
-    pub latest: Option<Instant>,
+    pub write_by: Option<Instant>,
 }
 
 /// An answer, and where the rest of it comes from if it is not held whole.
 #[derive(Debug, Clone)]
-pub struct Reply {
+pub struct EndpointResponse {
     /// The answer, or its head and beginning.
-    pub answer: Answer,
+    pub response: Response,
     /// The rest.
-    pub rest: Rest,
+    pub remaining_body: RemainingBody,
 }
 
 /// A later piece, or none at the end.
 type Next<'a> = Pin<Box<dyn Future<Output = io::Result<Option<Bytes>>> + 'a>>;
 
 /// A body that comes in pieces.
-pub trait Pieces {
+pub trait BodyStream {
     /// The next piece.
     fn next(&mut self) -> Next<'_>;
 }
 
 /// The rest of an answer, for whoever takes it first.
 #[derive(Clone, Default)]
-pub struct Rest(Rc<RefCell<Option<Box<dyn Pieces>>>>);
+pub struct RemainingBody(Rc<RefCell<Option<Box<dyn BodyStream>>>>);
 
-impl Rest {
+impl RemainingBody {
     /// The pieces.
-    pub fn take(&self) -> Option<Box<dyn Pieces>> {
+    pub fn take(&self) -> Option<Box<dyn BodyStream>> {
         self.0.borrow_mut().take()
     }
 }
 
-impl fmt::Debug for Rest {
+impl fmt::Debug for RemainingBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(if self.0.borrow().is_some() { "Rest(..)" } else { "Rest" })
     }
 }
 
 /// A large answer that is still coming.
-struct Remainder<P: Platform> {
-    pool: Rc<Pool<P>>,
+struct StreamingBody<P: Platform> {
+    pool: Rc<ConnectionPool<P>>,
     to: EndpointId,
-    lease: Option<Lease<P>>,
-    exchange: Exchange,
+    lease: Option<PooledConnection<P>>,
+    exchange: ResponseReader,
 }
 
-impl<P: Platform> Pieces for Remainder<P> {
+impl<P: Platform> BodyStream for StreamingBody<P> {
     fn next(&mut self) -> Next<'_> {
         Box::pin(async {
             let mut ended = false;
             loop {
-                match self.exchange.piece(ended).map_err(bad)? {
-                    Piece::Bytes(piece) => return Ok(Some(piece)),
-                    Piece::End => {
+                match self.exchange.next_piece(ended).map_err(bad)? {
+                    BodyPiece::Bytes(piece) => return Ok(Some(piece)),
+                    BodyPiece::End => {
                         if let Some(lease) = self.lease.take().filter(|_| self.exchange.reusable()) {
                             self.pool.put(self.to, lease);
                         }
                         return Ok(None);
                     }
-                    Piece::More if ended => return Err(io::ErrorKind::UnexpectedEof.into()),
-                    Piece::More => {}
+                    BodyPiece::More if ended => return Err(io::ErrorKind::UnexpectedEof.into()),
+                    BodyPiece::More => {}
                 }
                 let Some(lease) = &mut self.lease else { return Ok(None) };
                 let read = lease.stream.read_buf(self.exchange.buffer());
@@ -310,7 +311,7 @@
 /// must not be cut off, and who is slow may pause.
 const SILENT: Duration = Duration::from_secs(10);
 
-fn bad(fault: Fault) -> io::Error {
+fn bad(fault: ParseError) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, format!("{fault:?}"))
 }
 
@@ -324,16 +325,16 @@
 pub(crate) async fn read_answer<P: Platform>(
     platform: &P,
     stream: &mut P::Stream,
-    exchange: &mut Exchange,
+    exchange: &mut ResponseReader,
     stalled: Duration,
-) -> io::Result<Answer> {
+) -> io::Result<Response> {
     loop {
         // Danger: a length that promises more than comes leaves the connection open and silent, and the session
         // would wait out its whole time with none left to try again.
-        let begun = exchange.begun();
+        let begun = exchange.has_begun();
         let read = stream.read_buf(exchange.buffer());
         let read = if begun {
-            platform.timeout(stalled, read).await.map_err(|_| bad(Fault::Malformed))?
+            platform.timeout(stalled, read).await.map_err(|_| bad(ParseError::Malformed))?
         } else {
             read.await
         };
--- a/crates/sidecar/src/force.rs
+++ b/crates/sidecar/src/force.rs
@@ -1,24 +1,24 @@
 //! What is in force: the one owner that composes the file, the count of those at work, the fleet's parts and its plan
 //! into one consistent whole, and hands it out in one step.
 
-use crate::backend::Pool;
 use crate::config::Config;
 use crate::directory::Directory;
 use crate::fleet::Fleet;
-use crate::frontend::{Frontend, HttpBackend};
+use crate::frontend::{Frontend, HttpTransport};
 use crate::lifecycle::Life;
-use crate::session::Host;
+use crate::pool::ConnectionPool;
+use crate::requests::RequestDriver;
 use cometcroft::{Event, ListScope, Settings};
 use cometcroft_settings::{Field, Sockets};
 use std::cell::RefCell;
 use std::rc::Rc;
 
 /// What is put in force where.
-pub(crate) struct Force<C: HttpBackend> {
+pub(crate) struct Force<C: HttpTransport> {
     pub frontend: Rc<Frontend<C>>,
-    pub host: Rc<Host<C>>,
+    pub host: Rc<RequestDriver<C>>,
     pub directory: Rc<Directory>,
-    pub pool: Rc<Pool<C::Platform>>,
+    pub pool: Rc<ConnectionPool<C::Platform>>,
     pub life: Rc<Life<C::Platform>>,
     pub fields: Rc<RefCell<Rc<[Field]>>>,
     pub fleet: Option<Rc<Fleet<C::Platform>>>,
@@ -26,16 +26,16 @@
     pub said: RefCell<Option<(Settings, Sockets)>>,
 }
 
-impl<C: HttpBackend> Force<C> {
+impl<C: HttpTransport> Force<C> {
     /// A new file. One step: nothing is awaited between the first and the last of these.
     pub fn file(&self, config: Config) {
         self.life.tell(|machine, _| machine.longest(config.longest_deadline()));
         let Config { settings, net, fields, .. } = config;
         self.directory.retune(net.zones.clone());
-        self.pool.retune(net.idle, net.connect_timeout);
+        self.pool.apply_settings(net.idle, net.connect_timeout);
         self.fields.replace(fields.into());
         match &self.fleet {
-            None => self.frontend.retune(settings, &net.classes, net.tenants),
+            None => self.frontend.apply_settings(settings, &net.classes, net.tenants),
             Some(_) => {
                 self.said.replace(Some((settings, net)));
                 self.fleet();
@@ -52,9 +52,9 @@
         // Danger: a bar that the module hears of before the list is stricter would be tried all the same.
         let entries = self.directory.judge();
         if !entries.is_empty() {
-            self.host.tell(Event::EndpointList { scope: ListScope::Changes, entries });
+            self.host.handle_event(Event::EndpointList { scope: ListScope::Changes, entries });
         }
-        self.frontend.retune(settings, &net.classes, net.tenants.clone());
+        self.frontend.apply_settings(settings, &net.classes, net.tenants.clone());
         if let Some(accord) = fleet.accord() {
             accord.put_in_force();
         }
--- a/crates/sidecar/src/frontend/reading.rs
+++ b/crates/sidecar/src/frontend/connection.rs
@@ -1,12 +1,12 @@
 //! Reading: what a client connection brings, and how long it has for that.
 
-use super::closing::bid_farewell;
-use super::{Frontend, HttpBackend, Seat, StreamOf, Waiting};
+use super::response::close_gracefully;
+use super::{ConnectionSlot, Frontend, HttpTransport, StreamOf, WaitingConnection};
 use crate::counters::count;
 use crate::http::server::{Connection, Status, Step};
 use crate::lifecycle::Machine;
 use crate::sockets::send_promptly;
-use crate::upload::{Patience, Upload};
+use crate::upload::{ReadTimeout, Upload};
 use cometcroft_platform::{Platform, Stream};
 use std::io;
 use std::rc::Rc;
@@ -21,26 +21,30 @@
 /// A connection is not closed as idle so soon after it came.
 const GRACE: Duration = Duration::from_millis(300);
 
-impl<C: HttpBackend> Frontend<C> {
-    pub(super) async fn connection(&self, mut stream: StreamOf<C>, seat: &mut Seat<C>) -> io::Result<()> {
+impl<T: HttpTransport> Frontend<T> {
+    pub(super) async fn connection(
+        &self,
+        mut stream: StreamOf<T>,
+        seat: &mut ConnectionSlot<T>,
+    ) -> io::Result<()> {
         send_promptly(&stream);
         let mut machine = Connection::default();
         let connected = self.platform.now();
         let (mut since, mut first) = (connected, true);
         // When the last bytes came: the time of a request counts from its last byte.
         let mut last = connected;
-        let mut patience = Patience::new(connected);
+        let mut patience = ReadTimeout::new(connected);
         // Places that lie evenly, however many there are: multiples of the golden ratio.
         let place = (self.turn.replace(self.turn.get() + 1) as f64 * 0.618_033_988_749_895).fract();
-        while !machine.closed() {
+        while !machine.is_closed() {
             match machine.step() {
                 Step::More => {
-                    let idle = machine.idle();
+                    let idle = machine.is_idle();
                     let owes = if first { Some(connected) } else { (!idle).then_some(since) };
                     let now = self.platform.now();
                     // A head has its time; a body has as long as it goes on coming.
-                    let body = machine.within();
-                    let until = if body { patience.wait(now) } else { owes.unwrap_or(now) + UNREADY };
+                    let body = machine.is_reading_body();
+                    let until = if body { patience.start_wait(now) } else { owes.unwrap_or(now) + UNREADY };
                     match self.read(&mut stream, &mut machine, owes, until, place).await? {
                         Read::Bytes(bytes) => {
                             last = self.platform.now();
@@ -48,20 +52,20 @@
                                 since = last;
                             }
                             if body {
-                                patience.came(last, bytes);
+                                patience.end_wait(last, bytes);
                             } else {
-                                patience = Patience::new(last);
+                                patience = ReadTimeout::new(last);
                             }
                         }
-                        Read::Ended => return Ok(()),
+                        Read::Closed => return Ok(()),
                         // A request lies there unread: it is served first. Danger: the runtime may not have heard of it yet,
                         // and does not before this task waits.
-                        Read::Retired | Read::Evicted if !stream.quiet() => {
+                        Read::ShuttingDown | Read::Evicted if !stream.quiet() => {
                             self.platform.sleep(BETWEEN_READS).await;
                         }
                         // Danger: a request may come in this moment. It is not read as one any more, but a close over
                         // unread bytes would be a reset, and might take the last answer along.
-                        Read::Retired => return self.farewell(&mut stream, &machine).await,
+                        Read::ShuttingDown => return self.farewell(&mut stream, &machine).await,
                         Read::Evicted => {
                             return if seat.lingers() {
                                 self.farewell(&mut stream, &machine).await
@@ -69,8 +73,8 @@
                                 Ok(())
                             };
                         }
-                        Read::Late if idle => return self.farewell(&mut stream, &machine).await,
-                        Read::Late => {
+                        Read::TimedOut if idle => return self.farewell(&mut stream, &machine).await,
+                        Read::TimedOut => {
                             let status = Status::RequestTimeout;
                             self.reply(&mut stream, &mut machine, status, "", b"", true).await?;
                         }
@@ -100,34 +104,34 @@
         self.farewell(&mut stream, &machine).await
     }
 
-    async fn farewell(&self, stream: &mut StreamOf<C>, machine: &Connection) -> io::Result<()> {
-        bid_farewell(&self.platform, stream, machine.uploading()).await
+    async fn farewell(&self, stream: &mut StreamOf<T>, machine: &Connection) -> io::Result<()> {
+        close_gracefully(&self.platform, stream, machine.upload_cut_short()).await
     }
 
     /// Reads more of a request that the connection `owes` since then, or waits for one that may never come.
     async fn read(
         &self,
-        stream: &mut StreamOf<C>,
+        stream: &mut StreamOf<T>,
         machine: &mut Connection,
         owes: Option<Instant>,
         until: Instant,
         place: f64,
     ) -> io::Result<Read> {
-        let idle = machine.idle();
+        let idle = machine.is_idle();
         let turn = self.turn.replace(self.turn.get() + 1);
         let wake = Rc::new(Notify::new());
-        self.waiting.borrow_mut().insert(turn, Waiting { wake: wake.clone(), owes });
+        self.waiting.borrow_mut().insert(turn, WaitingConnection { wake: wake.clone(), owes });
         // Danger: a connection that was let in just now brings a request that nobody has read.
         let grace = owes.map(|since| since + GRACE);
         let retired = |machine: &Machine| machine.idle_until(place).map(|at| grace.map_or(at, |g| at.max(g)));
         let read = tokio::select! {
             biased;
-            read = stream.read_buf(machine.buffer()) => read.map(|n| if n > 0 { Read::Bytes(n) } else { Read::Ended }),
+            read = stream.read_buf(machine.buffer()) => read.map(|n| if n > 0 { Read::Bytes(n) } else { Read::Closed }),
             () = wake.notified() => Ok(Read::Evicted),
-            () = self.life.until(retired), if idle => Ok(Read::Retired),
+            () = self.life.until(retired), if idle => Ok(Read::ShuttingDown),
             () = self.platform.sleep_until(until), if owes.is_some() => {
                 count(&self.counters.frontend_mute);
-                Ok(Read::Late)
+                Ok(Read::TimedOut)
             }
         };
         self.waiting.borrow_mut().remove(&turn);
@@ -140,11 +144,11 @@
     /// So many bytes came.
     Bytes(usize),
     /// By the client's end.
-    Ended,
+    Closed,
     /// As room is needed.
     Evicted,
     /// On the way out.
-    Retired,
+    ShuttingDown,
     /// A request was owed and did not come in time.
-    Late,
+    TimedOut,
 }
--- a/crates/sidecar/src/frontend/mod.rs
+++ b/crates/sidecar/src/frontend/mod.rs
@@ -1,22 +1,22 @@
 //! The frontend: the listener and the client connections. It turns requests into sessions and verdicts into
 //! answers.
 
-mod closing;
-mod reading;
-mod waiting;
+mod connection;
+mod request;
+mod response;
 
-pub(crate) use closing::{bid_farewell, refuse};
-pub use waiting::time_left;
+pub use request::time_left;
+pub(crate) use response::{close_gracefully, error_response};
 
-use crate::classes::Register;
+use crate::attempt::ForwardedRequest;
+use crate::classes::ClassRegistry;
 use crate::counters::{Counters, count};
-use crate::dispatch::Payload;
-use crate::exchange::Reply;
+use crate::exchange::EndpointResponse;
 use crate::fleet::Fleet;
 use crate::lifecycle::{Life, Machine};
-use crate::session::{Carrier, Host};
+use crate::requests::{RequestDriver, Transport};
 use crate::sockets::lacks_descriptor;
-use crate::upload::Budget;
+use crate::upload::BodyMemory;
 use bytes::Bytes;
 use cometcroft::Settings;
 use cometcroft_platform::{Listener, Platform};
@@ -36,55 +36,55 @@
 const SLOW: Duration = Duration::from_millis(250);
 
 /// A carrier that brings HTTP requests to backend servers: whatever it is, this frontend can stand before it.
-pub trait HttpBackend: Carrier<Payload = Rc<Payload>, Answer = Reply> {}
+pub trait HttpTransport: Transport<Payload = Rc<ForwardedRequest>, Response = EndpointResponse> {}
 
-impl<C: Carrier<Payload = Rc<Payload>, Answer = Reply>> HttpBackend for C {}
+impl<T: Transport<Payload = Rc<ForwardedRequest>, Response = EndpointResponse>> HttpTransport for T {}
 
-type StreamOf<C> = <<C as Carrier>::Platform as Platform>::Stream;
-type ListenerOf<C> = <<C as Carrier>::Platform as Platform>::Listener;
+type StreamOf<T> = <<T as Transport>::Platform as Platform>::Stream;
+type ListenerOf<T> = <<T as Transport>::Platform as Platform>::Listener;
 
 /// All client connections.
-pub struct Frontend<C: HttpBackend> {
-    platform: C::Platform,
-    host: Rc<Host<C>>,
-    classes: RefCell<Register>,
+pub struct Frontend<T: HttpTransport> {
+    platform: T::Platform,
+    host: Rc<RequestDriver<T>>,
+    classes: RefCell<ClassRegistry>,
     tenants: RefCell<Vec<String>>,
-    life: Rc<Life<C::Platform>>,
+    life: Rc<Life<T::Platform>>,
     counters: Rc<Counters>,
     most: usize,
     /// So many more may be on their way out.
     spare: usize,
     lingering: Cell<usize>,
-    budget: Rc<Budget>,
+    budget: Rc<BodyMemory>,
     open: Cell<usize>,
     left: Notify,
     /// Connections that owe a request, the longest waiting first.
-    waiting: RefCell<BTreeMap<u64, Waiting>>,
+    waiting: RefCell<BTreeMap<u64, WaitingConnection>>,
     turn: Cell<u64>,
     /// The ids of all open requests.
     ids: RefCell<HashSet<Bytes>>,
-    fleet: Option<Rc<Fleet<C::Platform>>>,
+    fleet: Option<Rc<Fleet<T::Platform>>>,
 }
 
 /// A connection with no open request.
-struct Waiting {
+struct WaitingConnection {
     wake: Rc<Notify>,
     /// Since when it has owed a whole request; `None` if it has been served and may be idle.
     owes: Option<Instant>,
 }
 
-impl<C: HttpBackend> Frontend<C> {
+impl<T: HttpTransport> Frontend<T> {
     /// A frontend that holds at most `most` connections and `spare` that are on their way out, and so many bytes of large
     /// bodies before they are sent on.
     pub fn new(
-        host: Rc<Host<C>>,
-        classes: Register,
+        host: Rc<RequestDriver<T>>,
+        classes: ClassRegistry,
         tenants: Vec<String>,
-        life: Rc<Life<C::Platform>>,
+        life: Rc<Life<T::Platform>>,
         counters: Rc<Counters>,
         [most, spare, memory]: [usize; 3],
-        fleet: Option<Rc<Fleet<C::Platform>>>,
-    ) -> Rc<Frontend<C>> {
+        fleet: Option<Rc<Fleet<T::Platform>>>,
+    ) -> Rc<Frontend<T>> {
         Rc::new(Frontend {
             platform: host.platform().clone(),
             host,
@@ -95,7 +95,7 @@
             most,
             spare,
             lingering: Cell::new(0),
-            budget: Budget::new(memory),
+            budget: BodyMemory::new(memory),
             open: Cell::new(0),
             left: Notify::new(),
             waiting: RefCell::default(),
@@ -106,17 +106,17 @@
     }
 
     /// New settings, with the names of their classes. What is open keeps the class that it came under.
-    pub fn retune(&self, mut settings: Settings, names: &[String], tenants: Vec<String>) {
+    pub fn apply_settings(&self, mut settings: Settings, names: &[String], tenants: Vec<String>) {
         let mut classes = self.classes.borrow_mut();
-        let from = classes.take(names, &settings.classes, self.platform.now());
+        let from = classes.apply_settings(names, &settings.classes, self.platform.now());
         settings.classes = classes.classes();
         self.counters.figures.name(&classes.names());
         self.tenants.replace(tenants);
-        self.host.retune(settings, from);
+        self.host.apply_settings(settings, from);
     }
 
     /// Accepts and serves until the sidecar leaves, and returns when all is answered.
-    pub async fn run(self: Rc<Self>, listener: ListenerOf<C>) {
+    pub async fn run(self: Rc<Self>, listener: ListenerOf<T>) {
         tokio::select! {
             biased;
             () = self.life.until(Machine::accepts_until) => {}
@@ -133,7 +133,7 @@
         }
     }
 
-    async fn accept(self: &Rc<Self>, listener: &ListenerOf<C>) {
+    async fn accept(self: &Rc<Self>, listener: &ListenerOf<T>) {
         self.life.until(|machine| Some(machine.accepts_from())).await;
         loop {
             // Danger: past the limit of descriptors nothing works any more, so a place is made or awaited
@@ -144,13 +144,13 @@
                 let _ = self.platform.timeout(Duration::from_millis(10), self.left.notified()).await;
             }
             // Danger: without a descriptor for the next client nobody gets in, however many of the others are idle.
-            let stream = admit(&self.platform, listener, &self.counters, || self.evict()).await;
+            let stream = accept_connection(&self.platform, listener, &self.counters, || self.evict()).await;
             self.welcome(stream);
         }
     }
 
     /// Accepts what the machine has accepted before the listener goes.
-    async fn accept_waiting(self: &Rc<Self>, listener: &ListenerOf<C>) {
+    async fn accept_waiting(self: &Rc<Self>, listener: &ListenerOf<T>) {
         let begun = self.platform.now();
         let mut until = begun + LAST_CALL;
         // Danger: a time-out alone does not end this where accept is ready, or fails, at once each time.
@@ -171,9 +171,9 @@
         }
     }
 
-    fn welcome(self: &Rc<Self>, stream: StreamOf<C>) {
+    fn welcome(self: &Rc<Self>, stream: StreamOf<T>) {
         count(&self.counters.frontend_connections);
-        let mut seat = Seat::take(self);
+        let mut seat = ConnectionSlot::take(self);
         self.platform.detach(async move {
             let frontend = seat.frontend.clone();
             // A client that breaks off has left; there is nobody to tell.
@@ -185,9 +185,10 @@
     /// they say, would take the places of clients that do; so those go first, then who has been idle longest.
     fn evict(&self) {
         let mut waiting = self.waiting.borrow_mut();
-        let slow = |w: &Waiting| w.owes.is_some_and(|since| self.platform.since(since) >= SLOW);
-        let first =
-            |of: &dyn Fn(&Waiting) -> bool| waiting.iter().find(|(_, w)| of(w)).map(|(&turn, _)| turn);
+        let slow = |w: &WaitingConnection| w.owes.is_some_and(|since| self.platform.since(since) >= SLOW);
+        let first = |of: &dyn Fn(&WaitingConnection) -> bool| {
+            waiting.iter().find(|(_, w)| of(w)).map(|(&turn, _)| turn)
+        };
         let turn = first(&slow).or_else(|| first(&|w| w.owes.is_none())).or_else(|| first(&|_| true));
         if let Some(waiting) = turn.and_then(|turn| waiting.remove(&turn)) {
             count(&self.counters.frontend_evicted);
@@ -197,7 +198,7 @@
 }
 
 /// The next connection. No failed accept ends the service; one for lack of a descriptor asks the caller to `make_room`.
-pub(crate) async fn admit<P: Platform>(
+pub(crate) async fn accept_connection<P: Platform>(
     platform: &P,
     listener: &P::Listener,
     counters: &Counters,
@@ -218,15 +219,15 @@
 }
 
 /// A connection's place among all of them, given back when dropped.
-struct Seat<C: HttpBackend> {
-    frontend: Rc<Frontend<C>>,
+struct ConnectionSlot<T: HttpTransport> {
+    frontend: Rc<Frontend<T>>,
     lingering: bool,
 }
 
-impl<C: HttpBackend> Seat<C> {
-    fn take(frontend: &Rc<Frontend<C>>) -> Seat<C> {
+impl<T: HttpTransport> ConnectionSlot<T> {
+    fn take(frontend: &Rc<Frontend<T>>) -> ConnectionSlot<T> {
         frontend.open.set(frontend.open.get() + 1);
-        Seat { frontend: frontend.clone(), lingering: false }
+        ConnectionSlot { frontend: frontend.clone(), lingering: false }
     }
 
     /// Its connection is on its way out and its place is another's, if there is one to linger in. Danger: who makes room
@@ -244,7 +245,7 @@
     }
 }
 
-impl<C: HttpBackend> Drop for Seat<C> {
+impl<T: HttpTransport> Drop for ConnectionSlot<T> {
     fn drop(&mut self) {
         let place = if self.lingering { &self.frontend.lingering } else { &self.frontend.open };
         place.set(place.get() - 1);
--- a/crates/sidecar/src/frontend/waiting.rs
+++ b/crates/sidecar/src/frontend/request.rs
@@ -1,17 +1,17 @@
 //! Waiting for an outcome: a request becomes a session, and its client is heard meanwhile.
 
-use super::{Frontend, HttpBackend, StreamOf};
-use crate::classes::Form;
+use super::{Frontend, HttpTransport, StreamOf};
+use crate::attempt::ForwardedRequest;
+use crate::classes::RequestForm;
 use crate::counters::count;
-use crate::dispatch::Payload;
-use crate::exchange::Reply;
+use crate::exchange::EndpointResponse;
 use crate::figures::Tally;
 use crate::http::server::{CALL_ID, Connection, Request, Status};
-use crate::http::{Fault, Piece};
+use crate::http::{BodyPiece, ParseError};
 use crate::lifecycle::Machine;
 use crate::purse::Held as Spent;
-use crate::session::{Opening, Verdict};
-use crate::upload::{Patience, Upload};
+use crate::requests::{FinalResponse, NewRequest};
+use crate::upload::{ReadTimeout, Upload};
 use bytes::Bytes;
 use cometcroft::{ClassId, TenantId};
 use cometcroft_platform::{Platform, Stream};
@@ -27,17 +27,17 @@
 /// The longest id of a request.
 const MAX_ID: usize = 128;
 
-impl<C: HttpBackend> Frontend<C> {
+impl<T: HttpTransport> Frontend<T> {
     /// Serves one request and tells since when the next one has been coming; `None` when its client has left.
     pub(super) async fn request(
         &self,
-        stream: &mut StreamOf<C>,
+        stream: &mut StreamOf<T>,
         machine: &mut Connection,
         mut request: Request,
         upload: Option<Upload>,
         since: Instant,
     ) -> io::Result<Option<Instant>> {
-        let mut early = (upload.is_none() && machine.ahead()).then_some(since);
+        let mut early = (upload.is_none() && machine.has_pipelined()).then_some(since);
         let closes = || self.life.ask(Machine::closes);
         if request.method == "GET" && request.path() == b"/up" {
             // Without a list there is nowhere to send a request to.
@@ -51,32 +51,35 @@
             self.reply(stream, machine, Status::Ok, extra, json.as_bytes(), closes()).await?;
             return Ok(Some(early.unwrap_or_else(|| self.platform.now())));
         }
-        let mut patience = Patience::new(since);
+        let mut patience = ReadTimeout::new(since);
         if let Some(upload) = &upload {
             // Danger: what can't be taken is turned away before its body is waited for.
             if let Err(fault) = self.class_of(&request, true) {
-                return self.turn_away(stream, machine, fault.into()).await;
+                return self.reject_invalid(stream, machine, fault.into()).await;
             }
             upload.push(std::mem::take(&mut request.body));
-            while upload.gathers() {
+            while upload.reserve_buffer() {
                 match self.feed(stream, machine, upload, &mut patience).await? {
-                    Fed::Piece => {}
-                    Fed::Gone => return Ok(None),
-                    Fed::Bad(status) => return self.turn_away(stream, machine, status).await,
+                    ClientInput::Received => {}
+                    ClientInput::Disconnected => return Ok(None),
+                    ClientInput::Invalid(status) => {
+                        return self.reject_invalid(stream, machine, status).await;
+                    }
                 }
             }
-            upload.begin();
+            upload.start_sending();
         }
-        let whole = upload.as_ref().is_none_or(Upload::whole);
+        let whole = upload.as_ref().is_none_or(Upload::is_complete);
         let since = if upload.is_some() { self.platform.now() } else { since };
-        let more = upload.as_ref().map(|upload| upload.expected(patience.gone())).unwrap_or_default();
+        let more =
+            upload.as_ref().map(|upload| upload.expected_time_left(patience.waited())).unwrap_or_default();
         let taken = self.opening(request, upload, since, more).and_then(|(opening, due)| {
             let id = opening.payload.request.headers.single(CALL_ID)?.cloned().unwrap_or_default();
-            Ok((OpenId::take(self, id)?, opening, due))
+            Ok((OpenRequestId::take(self, id)?, opening, due))
         });
         let (id, opening, due) = match taken {
             Ok(taken) => taken,
-            Err(fault) => return self.turn_away(stream, machine, fault.into()).await,
+            Err(fault) => return self.reject_invalid(stream, machine, fault.into()).await,
         };
         let (class, payload) = (opening.class, opening.payload.clone());
         // Given back with the answer.
@@ -87,31 +90,32 @@
                 count(&self.counters.budget_refused);
                 self.counters.figures.count(class, |tally| &mut tally.throttled);
                 // Danger: what of its body is still to come would pass for the next request.
-                self.deny(stream, machine, Some(after), !whole || closes()).await?;
+                self.reject(stream, machine, Some(after), !whole || closes()).await?;
                 return Ok(whole.then(|| early.unwrap_or_else(|| self.platform.now())));
             }
         };
         // Taken it is when its last byte has come.
         let mut _open = whole.then(|| self.counters.figures.begin());
-        let budget = payload.request.budget().unwrap_or_default();
+        let budget = payload.request.time_budget().unwrap_or_default();
         let mut late = None;
-        let _held = Held::take(self, class);
+        let _held = ClassHold::take(self, class);
         let verdict = {
             let served = self.host.serve(opening, due);
             tokio::pin!(served);
             loop {
                 // Danger: a client's close is only seen by reading; so that is done while it waits, and what comes
                 // early is kept for the next request, within bounds. Behind a flood lies an end too.
-                let coming = payload.upload.as_ref().filter(|upload| !upload.whole());
-                let listens = coming.is_some() || !machine.flooded();
+                let coming = payload.upload.as_ref().filter(|upload| !upload.is_complete());
+                let listens = coming.is_some() || !machine.has_overflowed();
                 let feed = async {
                     match coming {
                         Some(upload) => self.feed(stream, machine, upload, &mut patience).await,
                         None => {
-                            let buffer = if machine.full() { machine.excess() } else { machine.buffer() };
+                            let buffer =
+                                if machine.is_full() { machine.overflow_buffer() } else { machine.buffer() };
                             match stream.read_buf(buffer).await {
-                                Ok(1..) => Ok(Fed::Piece),
-                                _ => Ok(Fed::Gone),
+                                Ok(1..) => Ok(ClientInput::Received),
+                                _ => Ok(ClientInput::Disconnected),
                             }
                         }
                     }
@@ -121,22 +125,24 @@
                     verdict = &mut served => break verdict,
                     fed = feed, if listens => fed?,
                     () = self.platform.sleep_until(late.unwrap_or(due)), if late.is_some() => {
-                        break Verdict::Overdue;
+                        break FinalResponse::TimedOut;
                     }
-                    () = self.life.until(Machine::answered_by) => break Verdict::Overdue,
+                    () = self.life.until(Machine::answered_by) => break FinalResponse::TimedOut,
                 };
                 match (fed, coming) {
-                    (Fed::Gone, _) => return Ok(None),
-                    (Fed::Bad(status), _) => return self.turn_away(stream, machine, status).await,
-                    (Fed::Piece, None) => {
+                    (ClientInput::Disconnected, _) => return Ok(None),
+                    (ClientInput::Invalid(status), _) => {
+                        return self.reject_invalid(stream, machine, status).await;
+                    }
+                    (ClientInput::Received, None) => {
                         early.get_or_insert_with(|| self.platform.now());
                     }
                     // Now its time begins.
-                    (Fed::Piece, Some(upload)) if upload.whole() => {
+                    (ClientInput::Received, Some(upload)) if upload.is_complete() => {
                         _open = Some(self.counters.figures.begin());
                         late = Some(self.platform.now() + time_left(budget, Duration::ZERO).1);
                     }
-                    (Fed::Piece, Some(_)) => {}
+                    (ClientInput::Received, Some(_)) => {}
                 }
             }
         };
@@ -145,16 +151,16 @@
         let close = closes();
         let tally = |what: fn(&mut Tally) -> &mut u64| self.counters.figures.count(class, what);
         match verdict {
-            Verdict::Served(Reply { answer, rest }) => {
+            FinalResponse::Served(EndpointResponse { response: answer, remaining_body: rest }) => {
                 let kind = answer.headers.single("content-type").ok().flatten();
                 let kind = kind.and_then(|kind| std::str::from_utf8(kind).ok());
                 let extra = kind.map(|kind| format!("Content-Type: {kind}\r\n")).unwrap_or_default();
-                let Some(bulk) = answer.bulk else {
+                let Some(bulk) = answer.streamed else {
                     tally(|tally| &mut tally.fulfilled);
                     self.reply(stream, machine, Status::Ok, &extra, &answer.body, close).await?;
                     return Ok(Some(early.unwrap_or_else(|| self.platform.now())));
                 };
-                let (head, coding) = machine.begin(&extra, bulk.length, close);
+                let (head, coding) = machine.streamed_response_head(&extra, bulk.length, close);
                 let Some(rest) = rest.take() else { return Ok(None) };
                 // Danger: a client must be able to tell that an answer is not whole, so what breaks off ends its
                 // connection without the end mark or short of the length.
@@ -162,13 +168,13 @@
                 tally(if whole.is_ok() { |tally| &mut tally.fulfilled } else { |tally| &mut tally.faulted });
                 whole?;
             }
-            Verdict::Denied { retry_after } => {
+            FinalResponse::Rejected { retry_after } => {
                 tally(|tally| &mut tally.throttled);
-                self.deny(stream, machine, retry_after, close).await?;
+                self.reject(stream, machine, retry_after, close).await?;
             }
-            Verdict::Failed | Verdict::Overdue => {
+            FinalResponse::Failed | FinalResponse::TimedOut => {
                 tally(|tally| &mut tally.faulted);
-                let late = matches!(verdict, Verdict::Overdue);
+                let late = matches!(verdict, FinalResponse::TimedOut);
                 let status = if late { Status::GatewayTimeout } else { Status::BadGateway };
                 self.reply(stream, machine, status, "", b"", close).await?;
             }
@@ -177,7 +183,7 @@
     }
 
     /// What a request takes of the fleet's budgets, or after how long it may come again.
-    fn spend(&self, payload: &Payload) -> Result<Option<Spent<C::Platform>>, Duration> {
+    fn spend(&self, payload: &ForwardedRequest) -> Result<Option<Spent<T::Platform>>, Duration> {
         let Some(fleet) = &self.fleet else { return Ok(None) };
         let caller = payload.request.headers.single("x-caller").ok().flatten();
         fleet.admit(caller.map(|caller| &caller[..]))
@@ -186,52 +192,53 @@
     /// Takes the next piece of a large body, or waits for it or for room. Dropped, it loses nothing.
     async fn feed(
         &self,
-        stream: &mut StreamOf<C>,
+        stream: &mut StreamOf<T>,
         machine: &mut Connection,
         upload: &Upload,
-        patience: &mut Patience,
-    ) -> io::Result<Fed> {
-        match machine.piece() {
-            Ok(Piece::Bytes(piece)) => upload.push(piece),
-            Ok(Piece::End) => upload.finish(),
-            Err(status) => return Ok(Fed::Bad(status)),
-            Ok(Piece::More) => {
-                if !upload.gathering() {
+        patience: &mut ReadTimeout,
+    ) -> io::Result<ClientInput> {
+        match machine.next_piece() {
+            Ok(BodyPiece::Bytes(piece)) => upload.push(piece),
+            Ok(BodyPiece::End) => upload.finish(),
+            Err(status) => return Ok(ClientInput::Invalid(status)),
+            Ok(BodyPiece::More) => {
+                if !upload.is_buffering() {
                     tokio::select! {
                         biased;
-                        () = upload.room() => {}
-                        () = self.leaves_unread(stream) => return Ok(Fed::Gone),
+                        () = upload.wait_for_room() => {}
+                        () = self.leaves_unread(stream) => return Ok(ClientInput::Disconnected),
                     }
                 }
-                let until = patience.wait(self.platform.now());
+                let until = patience.start_wait(self.platform.now());
                 match self.platform.timeout_at(until, stream.read_buf(machine.buffer())).await {
-                    Ok(Ok(0)) => return Ok(Fed::Gone),
-                    Ok(read) => patience.came(self.platform.now(), read?),
+                    Ok(Ok(0)) => return Ok(ClientInput::Disconnected),
+                    Ok(read) => patience.end_wait(self.platform.now(), read?),
                     Err(_) => {
                         count(&self.counters.frontend_mute);
-                        return Ok(Fed::Bad(Status::RequestTimeout));
+                        return Ok(ClientInput::Invalid(Status::RequestTimeout));
                     }
                 }
             }
         }
-        Ok(Fed::Piece)
+        Ok(ClientInput::Received)
     }
 
     /// Waits until a client has left whose bytes are not read now: nothing may begin for it any more.
-    async fn leaves_unread(&self, stream: &StreamOf<C>) {
+    async fn leaves_unread(&self, stream: &StreamOf<T>) {
         while !stream.ended() {
             self.platform.sleep(BETWEEN_LOOKS).await;
         }
     }
 
     /// The class of a request, by its name and form.
-    fn class_of(&self, request: &Request, body: bool) -> Result<ClassId, Fault> {
+    fn class_of(&self, request: &Request, body: bool) -> Result<ClassId, ParseError> {
         let key = request.headers.single("idempotency-key")?;
         // Danger: the class alone says whether a request may be repeated; one that comes in another class's form
         // is not what it says.
-        let form = Form::of(&request.method, body, key.map(|key| &key[..])).ok_or(Fault::Malformed)?;
-        let class = self.classes.borrow().find(request.class(), form, self.platform.now());
-        class.ok_or(Fault::Malformed)
+        let form =
+            RequestForm::of(&request.method, body, key.map(|key| &key[..])).ok_or(ParseError::Malformed)?;
+        let class = self.classes.borrow().find(request.class_name(), form, self.platform.now());
+        class.ok_or(ParseError::Malformed)
     }
 
     /// What a request asks for, and when its answer is due at the latest.
@@ -241,24 +248,38 @@
         upload: Option<Upload>,
         since: Instant,
         more: Duration,
-    ) -> Result<(Opening<Rc<Payload>>, Instant), Fault> {
+    ) -> Result<(NewRequest<Rc<ForwardedRequest>>, Instant), ParseError> {
         let id = request.headers.single(CALL_ID)?;
         if id.is_none_or(|id| id.is_empty() || id.len() > MAX_ID || !id.iter().all(u8::is_ascii_graphic)) {
-            return Err(Fault::Malformed);
+            return Err(ParseError::Malformed);
         }
         let class = self.class_of(&request, upload.is_some() || !request.body.is_empty())?;
         let caller = request.headers.single("x-caller")?;
         let tenant = caller.and_then(|c| self.tenants.borrow().iter().position(|t| t.as_bytes() == c));
         let repeat = request.headers.lists("x-again", "1");
-        let (left, due) = time_left(request.budget()?, self.platform.since(since));
+        let (left, due) = time_left(request.time_budget()?, self.platform.since(since));
         let now = self.platform.now();
         let last = self.life.ask(Machine::due).map(|last| last.saturating_duration_since(now));
         // The body of a large request has its time before that; SIGKILL waits for neither.
         let (left, due) = (left + more, due + more);
         let (left, due) = (left.min(last.unwrap_or(left)), now + due.min(last.unwrap_or(due)));
-        let payload =
-            Rc::new(Payload { request, class, upload, begun: Cell::new(0), ended: Cell::default() });
-        Ok((Opening { class, tenant: tenant.map(TenantId), left, repeat, payload }, due))
+        let payload = Rc::new(ForwardedRequest {
+            request,
+            class,
+            upload,
+            attempts_started: Cell::new(0),
+            last_failure: Cell::default(),
+        });
+        Ok((
+            NewRequest {
+                class,
+                tenant: tenant.map(TenantId),
+                time_left: left,
+                client_retry: repeat,
+                payload,
+            },
+            due,
+        ))
     }
 }
 
@@ -271,46 +292,46 @@
 }
 
 /// What came of waiting for a client while its request is open.
-enum Fed {
-    Piece,
+enum ClientInput {
+    Received,
     /// It has left.
-    Gone,
+    Disconnected,
     /// What came can't be the rest of its request, or stood still.
-    Bad(Status),
+    Invalid(Status),
 }
 
 /// The id of an open request, free again when dropped.
-struct OpenId<'a, C: HttpBackend>(&'a Frontend<C>, Bytes);
+struct OpenRequestId<'a, T: HttpTransport>(&'a Frontend<T>, Bytes);
 
-impl<'a, C: HttpBackend> OpenId<'a, C> {
+impl<'a, T: HttpTransport> OpenRequestId<'a, T> {
     /// Danger: two open requests of one id can't be told apart by anyone behind us, who would take one for a
     /// copy of the other.
-    fn take(frontend: &'a Frontend<C>, id: Bytes) -> Result<OpenId<'a, C>, Fault> {
+    fn take(frontend: &'a Frontend<T>, id: Bytes) -> Result<OpenRequestId<'a, T>, ParseError> {
         if !frontend.ids.borrow_mut().insert(id.clone()) {
             count(&frontend.counters.repeated_ids);
-            return Err(Fault::Malformed);
+            return Err(ParseError::Malformed);
         }
-        Ok(OpenId(frontend, id))
+        Ok(OpenRequestId(frontend, id))
     }
 }
 
-impl<C: HttpBackend> Drop for OpenId<'_, C> {
+impl<T: HttpTransport> Drop for OpenRequestId<'_, T> {
     fn drop(&mut self) {
         self.0.ids.borrow_mut().remove(&self.1);
     }
 }
 
 /// A request that has the number of a class; the number is not another's as long as this is there.
-struct Held<'a, C: HttpBackend>(&'a Frontend<C>, ClassId);
+struct ClassHold<'a, T: HttpTransport>(&'a Frontend<T>, ClassId);
 
-impl<'a, C: HttpBackend> Held<'a, C> {
-    fn take(frontend: &'a Frontend<C>, class: ClassId) -> Held<'a, C> {
+impl<'a, T: HttpTransport> ClassHold<'a, T> {
+    fn take(frontend: &'a Frontend<T>, class: ClassId) -> ClassHold<'a, T> {
         frontend.classes.borrow_mut().hold(class);
-        Held(frontend, class)
+        ClassHold(frontend, class)
     }
 }
 
-impl<C: HttpBackend> Drop for Held<'_, C> {
+impl<T: HttpTransport> Drop for ClassHold<'_, T> {
     fn drop(&mut self) {
         self.0.classes.borrow_mut().release(self.1);
     }
--- a/crates/sidecar/src/frontend/closing.rs
+++ b/crates/sidecar/src/frontend/response.rs
@@ -1,10 +1,10 @@
 //! Answers and ends: how they are written, and how a connection is closed without losing what was written.
 
-use super::{Frontend, HttpBackend, StreamOf};
+use super::{Frontend, HttpTransport, StreamOf};
 use crate::counters::count;
-use crate::exchange::Pieces;
-use crate::http::MAX_BULK;
-use crate::http::server::{Coding, Connection, Status};
+use crate::exchange::BodyStream;
+use crate::http::MAX_STREAMED_BODY;
+use crate::http::server::{BodyCoding, Connection, Status};
 use bytes::{Bytes, BytesMut};
 use cometcroft_platform::Platform;
 use std::io;
@@ -14,11 +14,11 @@
 /// A client that takes no bytes of its answer for so long is let go.
 const STALLED: Duration = Duration::from_secs(10);
 
-impl<C: HttpBackend> Frontend<C> {
+impl<T: HttpTransport> Frontend<T> {
     /// Denies a request, with the time after which it may come again.
-    pub(super) async fn deny(
+    pub(super) async fn reject(
         &self,
-        stream: &mut StreamOf<C>,
+        stream: &mut StreamOf<T>,
         machine: &mut Connection,
         after: Option<Duration>,
         close: bool,
@@ -29,9 +29,9 @@
     }
 
     /// Answers what can't be taken; its connection ends with it.
-    pub(super) async fn turn_away(
+    pub(super) async fn reject_invalid(
         &self,
-        stream: &mut StreamOf<C>,
+        stream: &mut StreamOf<T>,
         machine: &mut Connection,
         status: Status,
     ) -> io::Result<Option<Instant>> {
@@ -43,11 +43,11 @@
     /// Passes a large answer on as it comes.
     pub(super) async fn relay(
         &self,
-        stream: &mut StreamOf<C>,
+        stream: &mut StreamOf<T>,
         head: Bytes,
-        coding: Coding,
+        coding: BodyCoding,
         first: Bytes,
-        mut rest: Box<dyn Pieces>,
+        mut rest: Box<dyn BodyStream>,
     ) -> io::Result<()> {
         // Head and beginning go out together.
         let mut message = BytesMut::from(head);
@@ -65,14 +65,14 @@
 
     pub(super) async fn reply(
         &self,
-        stream: &mut StreamOf<C>,
+        stream: &mut StreamOf<T>,
         machine: &mut Connection,
         status: Status,
         extra: &str,
         body: &[u8],
         close: bool,
     ) -> io::Result<()> {
-        let mut message = machine.answer(status, extra, body.len(), close);
+        let mut message = machine.response_head(status, extra, body.len(), close);
         message.extend_from_slice(body);
         self.platform.timeout(STALLED, stream.write_all(&message)).await?
     }
@@ -80,7 +80,7 @@
 
 /// Ends a connection after its last answer. Danger: closing with unread bytes resets the connection and may take the
 /// answer along.
-pub(crate) async fn bid_farewell<P: Platform>(
+pub(crate) async fn close_gracefully<P: Platform>(
     platform: &P,
     stream: &mut P::Stream,
     bulk: bool,
@@ -88,7 +88,7 @@
     stream.shutdown().await?;
     let mut rest = [0; 16 * 1024];
     // Danger: who is in the middle of a large body may read nothing before its end, and would lose the answer.
-    let (time, mut most) = (if bulk { 6000 } else { 200 }, MAX_BULK);
+    let (time, mut most) = (if bulk { 6000 } else { 200 }, MAX_STREAMED_BODY);
     let patience = platform.now() + Duration::from_millis(time);
     while most > 0 {
         match platform.timeout_at(patience, stream.read(&mut rest)).await {
@@ -100,6 +100,6 @@
 }
 
 /// The answer to what can't be taken; its connection ends with it.
-pub(crate) fn refuse(machine: &mut Connection, status: Status) -> BytesMut {
-    machine.answer(status, "", 0, true)
+pub(crate) fn error_response(machine: &mut Connection, status: Status) -> BytesMut {
+    machine.response_head(status, "", 0, true)
 }
--- a/crates/sidecar/src/http/message.rs
+++ b/crates/sidecar/src/http/message.rs
@@ -5,15 +5,15 @@
 /// The longest head that is read.
 pub const MAX_HEAD: usize = 16 * 1024;
 /// The longest body that is held whole.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
 /// The longest body that is passed on.
-pub const MAX_BULK: usize = 32 << 20;
+pub const MAX_STREAMED_BODY: usize = 32 << 20;
 /// So much of a larger one is read at once.
-pub const WINDOW: usize = 32 * 1024;
+pub const READ_WINDOW: usize = 32 * 1024;
 
 /// Why a message can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
+pub enum ParseError {
     /// It is not HTTP/1.1 or contradicts itself.
     Malformed,
     /// Its head is too long.
@@ -37,11 +37,11 @@
     }
 
     /// The value of a header that may be there once; twice is a fault.
-    pub fn single<'a>(&'a self, name: &'a str) -> Result<Option<&'a Bytes>, Fault> {
+    pub fn single<'a>(&'a self, name: &'a str) -> Result<Option<&'a Bytes>, ParseError> {
         let mut all = self.all(name);
         match (all.next(), all.next()) {
             (value, None) => Ok(value),
-            _ => Err(Fault::Malformed),
+            _ => Err(ParseError::Malformed),
         }
     }
 
@@ -56,7 +56,7 @@
 pub(super) fn take_head(
     buffer: &mut BytesMut,
     scanned: &mut usize,
-) -> Result<Option<(Bytes, Headers)>, Fault> {
+) -> Result<Option<(Bytes, Headers)>, ParseError> {
     // Guards against empty lines sent after a body, which a reader is to pass over before a first line.
     while *scanned == 0 && buffer.starts_with(b"\r\n") {
         buffer.advance(2);
@@ -68,34 +68,34 @@
     let from = scanned.saturating_sub(3);
     let Some(end) = buffer[from..].windows(4).position(|w| w == b"\r\n\r\n").map(|at| from + at) else {
         *scanned = buffer.len();
-        return if buffer.len() > MAX_HEAD { Err(Fault::HeadTooLong) } else { Ok(None) };
+        return if buffer.len() > MAX_HEAD { Err(ParseError::HeadTooLong) } else { Ok(None) };
     };
     *scanned = 0;
     if end > MAX_HEAD {
-        return Err(Fault::HeadTooLong);
+        return Err(ParseError::HeadTooLong);
     }
     let mut head = buffer.split_to(end + 4).freeze();
     head.truncate(end);
     // Danger: whoever reads the same bytes next may not take a bare line feed for the end of a line.
     if head.iter().enumerate().any(|(at, &b)| b == b'\n' && (at == 0 || head[at - 1] != b'\r')) {
-        return Err(Fault::Malformed);
+        return Err(ParseError::Malformed);
     }
     let mut lines = head.split(|&b| b == b'\n').map(|line| line.strip_suffix(b"\r").unwrap_or(line));
-    let first = lines.next().ok_or(Fault::Malformed)?;
+    let first = lines.next().ok_or(ParseError::Malformed)?;
     let mut headers = Vec::new();
     for line in lines {
-        let colon = line.iter().position(|&b| b == b':').ok_or(Fault::Malformed)?;
+        let colon = line.iter().position(|&b| b == b':').ok_or(ParseError::Malformed)?;
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         let token = |b: &u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(b);
         if name.is_empty() || !name.iter().all(token) || !value.iter().all(plain) {
-            return Err(Fault::Malformed);
+            return Err(ParseError::Malformed);
         }
         // An empty slice may lie outside the buffer as far as `slice_ref` is concerned.
         let value = if value.is_empty() { Bytes::new() } else { head.slice_ref(value) };
         headers.push((head.slice_ref(name), value));
     }
     if first.is_empty() || !first.iter().all(plain) {
-        return Err(Fault::Malformed);
+        return Err(ParseError::Malformed);
     }
     Ok(Some((head.slice_ref(first), Headers(headers))))
 }
@@ -114,7 +114,7 @@
 
 /// What has come of a body.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum BodyPiece {
     /// Some of it.
     Bytes(Bytes),
     /// Nothing until more is read.
@@ -171,24 +171,24 @@
     }
 
     /// What the head says of the body; `None` where it says nothing.
-    pub(super) fn framed(headers: &Headers, most: usize) -> Result<Option<Body>, Fault> {
+    pub(super) fn framed(headers: &Headers, most: usize) -> Result<Option<Body>, ParseError> {
         let length = headers.single("content-length")?;
         if let Some(coding) = headers.single("transfer-encoding")? {
             // Danger: two framings that disagree let one message hide within another.
             if length.is_some() || !coding.eq_ignore_ascii_case(b"chunked") {
-                return Err(Fault::Malformed);
+                return Err(ParseError::Malformed);
             }
             let framing = Framing::Chunked { left: 0, within: false, trailer: false };
             return Ok(Some(Body::new(framing, most)));
         }
         let Some(length) = length else { return Ok(None) };
         if length.is_empty() || !length.iter().all(u8::is_ascii_digit) {
-            return Err(Fault::Malformed);
+            return Err(ParseError::Malformed);
         }
         // A number that does not fit is a body that is too long, whatever it is exactly.
         match std::str::from_utf8(length).ok().and_then(|l| l.parse::<usize>().ok()) {
             Some(length) if length <= most => Ok(Some(Body::new(Framing::Length(length), most))),
-            _ => Err(Fault::BodyTooLong),
+            _ => Err(ParseError::BodyTooLong),
         }
     }
 
@@ -206,7 +206,7 @@
         buffer: &mut BytesMut,
         ended: bool,
         hold: usize,
-    ) -> Result<Collected, Fault> {
+    ) -> Result<Collected, ParseError> {
         // A body of known length lies in the buffer until it is whole, and is cut off it without a copy.
         if let Framing::Length(left) = self.framing {
             return Ok(match left {
@@ -216,10 +216,10 @@
             });
         }
         loop {
-            match self.piece(buffer, ended)? {
-                Piece::Bytes(piece) => self.held.extend_from_slice(&piece),
-                Piece::More => return Ok(Collected::More),
-                Piece::End => return Ok(Collected::Whole(self.held.split().freeze())),
+            match self.next_piece(buffer, ended)? {
+                BodyPiece::Bytes(piece) => self.held.extend_from_slice(&piece),
+                BodyPiece::More => return Ok(Collected::More),
+                BodyPiece::End => return Ok(Collected::Whole(self.held.split().freeze())),
             }
             if self.held.len() > hold {
                 return Ok(Collected::Large(std::mem::take(&mut self.held).freeze()));
@@ -228,31 +228,35 @@
     }
 
     /// Takes the next piece off the buffer. `ended`: no more bytes will come.
-    pub(super) fn piece(&mut self, buffer: &mut BytesMut, ended: bool) -> Result<Piece, Fault> {
+    pub(super) fn next_piece(&mut self, buffer: &mut BytesMut, ended: bool) -> Result<BodyPiece, ParseError> {
         loop {
             let most = match &mut self.framing {
-                Framing::Length(0) => return Ok(Piece::End),
+                Framing::Length(0) => return Ok(BodyPiece::End),
                 Framing::Length(left) => *left,
-                Framing::UntilEnd if buffer.is_empty() && ended => return Ok(Piece::End),
+                Framing::UntilEnd if buffer.is_empty() && ended => return Ok(BodyPiece::End),
                 Framing::UntilEnd => usize::MAX,
                 Framing::Chunked { left: 0, within, trailer } => {
                     if *within {
                         if buffer.len() < 2 {
-                            return Ok(Piece::More);
+                            return Ok(BodyPiece::More);
                         }
                         if !buffer.starts_with(b"\r\n") {
-                            return Err(Fault::Malformed);
+                            return Err(ParseError::Malformed);
                         }
                         buffer.advance(2);
                         *within = false;
                     }
                     let Some(end) = buffer.windows(2).position(|w| w == b"\r\n") else {
-                        return if buffer.len() > 1024 { Err(Fault::Malformed) } else { Ok(Piece::More) };
+                        return if buffer.len() > 1024 {
+                            Err(ParseError::Malformed)
+                        } else {
+                            Ok(BodyPiece::More)
+                        };
                     };
                     let line = buffer.split_to(end + 2);
                     let line = &line[..end];
                     // Danger: lines that never come to an end would be read for ever.
-                    self.lines = self.lines.checked_sub(end + 2).ok_or(Fault::Malformed)?;
+                    self.lines = self.lines.checked_sub(end + 2).ok_or(ParseError::Malformed)?;
                     if *trailer {
                         if line.is_empty() {
                             self.framing = Framing::Length(0);
@@ -261,10 +265,11 @@
                     }
                     let size = line.split(|&b| b == b';').next().unwrap_or_default().trim_ascii();
                     let digits = !size.is_empty() && size.iter().all(u8::is_ascii_hexdigit);
-                    let size = std::str::from_utf8(size).ok().filter(|_| digits).ok_or(Fault::Malformed)?;
-                    let size = usize::from_str_radix(size, 16).map_err(|_| Fault::BodyTooLong)?;
+                    let size =
+                        std::str::from_utf8(size).ok().filter(|_| digits).ok_or(ParseError::Malformed)?;
+                    let size = usize::from_str_radix(size, 16).map_err(|_| ParseError::BodyTooLong)?;
                     if size > self.room {
-                        return Err(Fault::BodyTooLong);
+                        return Err(ParseError::BodyTooLong);
                     }
                     self.framing = Framing::Chunked { left: size, within: size > 0, trailer: size == 0 };
                     continue;
@@ -273,15 +278,15 @@
             };
             let came = most.min(buffer.len());
             if came == 0 {
-                return Ok(Piece::More);
+                return Ok(BodyPiece::More);
             }
-            self.room = self.room.checked_sub(came).ok_or(Fault::BodyTooLong)?;
+            self.room = self.room.checked_sub(came).ok_or(ParseError::BodyTooLong)?;
             // Body buys lines: small chunks are slow, but they end.
             self.lines = (self.lines + came.saturating_mul(16)).min(MAX_LINES);
             if let Framing::Length(left) | Framing::Chunked { left, .. } = &mut self.framing {
                 *left -= came;
             }
-            return Ok(Piece::Bytes(buffer.split_to(came).freeze()));
+            return Ok(BodyPiece::Bytes(buffer.split_to(came).freeze()));
         }
     }
 }
--- a/crates/sidecar/src/http/mod.rs
+++ b/crates/sidecar/src/http/mod.rs
@@ -7,4 +7,6 @@
 mod message;
 pub mod server;
 
-pub use message::{Fault, Headers, MAX_BODY, MAX_BULK, MAX_HEAD, Piece, WINDOW};
+pub use message::{
+    BodyPiece, Headers, MAX_BUFFERED_BODY, MAX_HEAD, MAX_STREAMED_BODY, ParseError, READ_WINDOW,
+};
--- a/crates/sidecar/src/http/server.rs
+++ b/crates/sidecar/src/http/server.rs
@@ -1,6 +1,9 @@
 //! The frontend's side of a connection: requests come in, one answer to each goes out.
 
-use super::message::{Body, Collected, Fault, Headers, MAX_BODY, MAX_BULK, Piece, WINDOW, roomy, take_head};
+use super::message::{
+    Body, BodyPiece, Collected, Headers, MAX_BUFFERED_BODY, MAX_STREAMED_BODY, ParseError, READ_WINDOW,
+    roomy, take_head,
+};
 use bytes::{BufMut, Bytes, BytesMut};
 use std::time::Duration;
 
@@ -27,7 +30,7 @@
     }
 
     /// The request's class by name: the first part of its path.
-    pub fn class(&self) -> &[u8] {
+    pub fn class_name(&self) -> &[u8] {
         self.path().split(|&b| b == b'/').nth(1).unwrap_or_default()
     }
 
@@ -38,22 +41,23 @@
     }
 
     /// The time that the client waits, from the moment it sent the request.
-    pub fn budget(&self) -> Result<Duration, Fault> {
-        let value = self.headers.single("x-budget")?.ok_or(Fault::Malformed)?;
-        let text = std::str::from_utf8(value).map_err(|_| Fault::Malformed)?;
-        let (number, unit) = text.split_at_checked(text.len().saturating_sub(1)).ok_or(Fault::Malformed)?;
+    pub fn time_budget(&self) -> Result<Duration, ParseError> {
+        let value = self.headers.single("x-budget")?.ok_or(ParseError::Malformed)?;
+        let text = std::str::from_utf8(value).map_err(|_| ParseError::Malformed)?;
+        let (number, unit) =
+            text.split_at_checked(text.len().saturating_sub(1)).ok_or(ParseError::Malformed)?;
         let scale = match unit {
             "m" => 1e-3,
             "u" => 1e-6,
-            _ => return Err(Fault::Malformed),
+            _ => return Err(ParseError::Malformed),
         };
         // Danger: a float's grammar also takes signs, exponents and 'inf'.
         if !number.bytes().all(|b| b.is_ascii_digit() || b == b'.') {
-            return Err(Fault::Malformed);
+            return Err(ParseError::Malformed);
         }
-        let seconds = number.parse::<f64>().map_err(|_| Fault::Malformed)? * scale;
+        let seconds = number.parse::<f64>().map_err(|_| ParseError::Malformed)? * scale;
         if seconds <= 0.0 {
-            return Err(Fault::Malformed);
+            return Err(ParseError::Malformed);
         }
         Ok(Duration::from_secs_f64(seconds.min(3600.0)))
     }
@@ -110,12 +114,12 @@
     }
 }
 
-impl From<Fault> for Status {
-    fn from(fault: Fault) -> Status {
+impl From<ParseError> for Status {
+    fn from(fault: ParseError) -> Status {
         match fault {
-            Fault::Malformed => Status::BadRequest,
-            Fault::HeadTooLong => Status::HeadTooLarge,
-            Fault::BodyTooLong => Status::TooLarge,
+            ParseError::Malformed => Status::BadRequest,
+            ParseError::HeadTooLong => Status::HeadTooLarge,
+            ParseError::BodyTooLong => Status::TooLarge,
         }
     }
 }
@@ -167,51 +171,51 @@
     /// The buffer that bytes are to be read into.
     pub fn buffer(&mut self) -> &mut BytesMut {
         let bulk = matches!(self.phase, Phase::Upload(_));
-        roomy(&mut self.buffer, if bulk { WINDOW } else { 4096 })
+        roomy(&mut self.buffer, if bulk { READ_WINDOW } else { 4096 })
     }
 
     /// Nothing of a request has come yet.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Head) && self.buffer.is_empty()
     }
 
     /// A head has come, and its body is not whole.
-    pub fn within(&self) -> bool {
+    pub fn is_reading_body(&self) -> bool {
         matches!(self.phase, Phase::Body(_))
     }
 
     /// Bytes lie unread that belong to a later request.
-    pub fn ahead(&self) -> bool {
+    pub fn has_pipelined(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// The body of a request was still coming when it was answered.
-    pub fn uploading(&self) -> bool {
+    pub fn upload_cut_short(&self) -> bool {
         self.cut
     }
 
     /// No further request is taken.
-    pub fn closed(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         matches!(self.phase, Phase::Closed)
     }
 
     /// So much lies unread that what comes is not kept until the request at hand is answered.
-    pub fn full(&self) -> bool {
-        self.buffer.len() >= MAX_BODY
+    pub fn is_full(&self) -> bool {
+        self.buffer.len() >= MAX_BUFFERED_BODY
     }
 
     /// The buffer for what comes beyond that. It is read for the end that may lie behind it and thrown away, and the
     /// connection ends with the answer, as it has a hole now.
-    pub fn excess(&mut self) -> &mut BytesMut {
+    pub fn overflow_buffer(&mut self) -> &mut BytesMut {
         self.spilt += self.scratch.len();
         self.cut_off = true;
         self.scratch.clear();
-        roomy(&mut self.scratch, WINDOW)
+        roomy(&mut self.scratch, READ_WINDOW)
     }
 
     /// More has been thrown away than any message holds.
-    pub fn flooded(&self) -> bool {
-        self.spilt > MAX_BULK
+    pub fn has_overflowed(&self) -> bool {
+        self.spilt > MAX_STREAMED_BODY
     }
 
     /// Looks at what has come.
@@ -226,7 +230,7 @@
         }
     }
 
-    fn try_step(&mut self) -> Result<Step, Fault> {
+    fn try_step(&mut self) -> Result<Step, ParseError> {
         if let Phase::Head = self.phase {
             let Some((line, headers)) = take_head(&mut self.buffer, &mut self.scanned)? else {
                 return Ok(Step::More);
@@ -234,20 +238,20 @@
             let mut words = line.split(|&b| b == b' ');
             let (method, target, version) = match (words.next(), words.next(), words.next(), words.next()) {
                 (Some(m), Some(t), Some(v), None) if !m.is_empty() => (m, t, v),
-                _ => return Err(Fault::Malformed),
+                _ => return Err(ParseError::Malformed),
             };
             if !method.iter().all(u8::is_ascii_uppercase) || !target.iter().all(u8::is_ascii_graphic) {
-                return Err(Fault::Malformed);
+                return Err(ParseError::Malformed);
             }
-            let target = origin(target).ok_or(Fault::Malformed)?;
+            let target = origin(target).ok_or(ParseError::Malformed)?;
             let lasting = match version {
                 b"HTTP/1.1" => true,
                 b"HTTP/1.0" => headers.lists("connection", "keep-alive"),
-                _ => return Err(Fault::Malformed),
+                _ => return Err(ParseError::Malformed),
             };
             self.old = version == b"HTTP/1.0";
             self.keep = lasting && !headers.lists("connection", "close");
-            let body = Body::framed(&headers, MAX_BULK)?.unwrap_or(Body::none());
+            let body = Body::framed(&headers, MAX_STREAMED_BODY)?.unwrap_or(Body::none());
             let waits = headers.lists("expect", "100-continue") && self.buffer.is_empty();
             let method = line.slice_ref(method);
             let target = if target == b"/" { Bytes::from_static(b"/") } else { line.slice_ref(target) };
@@ -258,7 +262,7 @@
             }
         }
         if let Phase::Body(part) = &mut self.phase {
-            let body = match part.1.collect(&mut self.buffer, false, MAX_BODY)? {
+            let body = match part.1.collect(&mut self.buffer, false, MAX_BUFFERED_BODY)? {
                 Collected::More => return Ok(Step::More),
                 Collected::Whole(body) => body,
                 Collected::Large(first) => {
@@ -280,12 +284,12 @@
     }
 
     /// Of a request whose body is not held whole, the next piece.
-    pub fn piece(&mut self) -> Result<Piece, Status> {
-        let Phase::Upload(body) = &mut self.phase else { return Ok(Piece::End) };
-        match body.piece(&mut self.buffer, false) {
-            Ok(Piece::End) => {
+    pub fn next_piece(&mut self) -> Result<BodyPiece, Status> {
+        let Phase::Upload(body) = &mut self.phase else { return Ok(BodyPiece::End) };
+        match body.next_piece(&mut self.buffer, false) {
+            Ok(BodyPiece::End) => {
                 self.phase = Phase::Owed;
-                Ok(Piece::End)
+                Ok(BodyPiece::End)
             }
             Ok(piece) => Ok(piece),
             Err(fault) => {
@@ -297,7 +301,7 @@
     }
 
     /// The head of the answer that is owed; `close` ends the connection with it.
-    pub fn answer(&mut self, status: Status, extra: &str, length: usize, close: bool) -> BytesMut {
+    pub fn response_head(&mut self, status: Status, extra: &str, length: usize, close: bool) -> BytesMut {
         let closing = self.conclude(close);
         let mut head = BytesMut::with_capacity(160 + length);
         let line = status.line();
@@ -316,16 +320,21 @@
     }
 
     /// The head of an answer whose body is passed on as it comes, and how that is framed.
-    pub fn begin(&mut self, extra: &str, length: Option<usize>, close: bool) -> (Bytes, Coding) {
+    pub fn streamed_response_head(
+        &mut self,
+        extra: &str,
+        length: Option<usize>,
+        close: bool,
+    ) -> (Bytes, BodyCoding) {
         let coding = match length {
-            Some(_) => Coding::Plain,
-            None if self.old => Coding::UntilEnd,
-            None => Coding::Chunked,
+            Some(_) => BodyCoding::Plain,
+            None if self.old => BodyCoding::UntilEnd,
+            None => BodyCoding::Chunked,
         };
-        let closing = self.conclude(close || coding == Coding::UntilEnd);
+        let closing = self.conclude(close || coding == BodyCoding::UntilEnd);
         let framing = match length {
             Some(length) => format!("Content-Length: {length}\r\n"),
-            None if coding == Coding::Chunked => "Transfer-Encoding: chunked\r\n".to_owned(),
+            None if coding == BodyCoding::Chunked => "Transfer-Encoding: chunked\r\n".to_owned(),
             None => String::new(),
         };
         (Bytes::from(format!("HTTP/1.1 200 OK\r\n{extra}{closing}{framing}\r\n")), coding)
@@ -334,7 +343,7 @@
 
 /// How a body that is passed on as it comes is framed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Coding {
+pub enum BodyCoding {
     /// Its length is known.
     Plain,
     /// In chunks.
@@ -343,11 +352,11 @@
     UntilEnd,
 }
 
-impl Coding {
+impl BodyCoding {
     /// A piece with what goes round it.
     pub fn frame(self, piece: &Bytes) -> Bytes {
         // An empty chunk would be the end mark.
-        if self != Coding::Chunked || piece.is_empty() {
+        if self != BodyCoding::Chunked || piece.is_empty() {
             return piece.clone();
         }
         let mut framed = BytesMut::with_capacity(piece.len() + 16);
@@ -359,7 +368,7 @@
 
     /// What goes behind the last piece.
     pub fn end(self) -> &'static [u8] {
-        if self == Coding::Chunked { b"0\r\n\r\n" } else { b"" }
+        if self == BodyCoding::Chunked { b"0\r\n\r\n" } else { b"" }
     }
 }
 
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -5,14 +5,13 @@
 #![deny(missing_docs)]
 
 pub mod accord;
-pub mod backend;
+pub mod attempt;
 pub mod classes;
 pub mod config;
 pub mod counters;
 pub mod dial;
 pub mod directory;
 pub mod discovery;
-pub mod dispatch;
 pub mod door;
 pub mod endpoint_list;
 pub mod exchange;
@@ -26,30 +25,31 @@
 pub mod logging;
 pub mod notices;
 pub mod operator;
+pub mod pool;
 pub mod probe;
 pub mod purse;
+pub mod requests;
 pub mod retune;
-pub mod session;
 pub mod sockets;
 pub mod start_clock;
 pub mod upload;
 pub mod words;
 
-use crate::backend::Pool;
-use crate::classes::Register;
+use crate::attempt::PooledTransport;
+use crate::classes::ClassRegistry;
 use crate::config::Config;
 use crate::counters::Counters;
 use crate::directory::Directory;
-use crate::dispatch::HttpCarrier;
 use crate::door::Door;
 use crate::endpoint_list::EndpointList;
 use crate::exchange::Exchanger;
 use crate::fleet::{Fleet, FleetParts};
 use crate::force::Force;
-use crate::frontend::{Frontend, HttpBackend};
+use crate::frontend::{Frontend, HttpTransport};
 use crate::lifecycle::{Life, Machine};
+use crate::pool::ConnectionPool;
+use crate::requests::RequestDriver;
 use crate::retune::Control;
-use crate::session::Host;
 use cometcroft::{Event, ListScope};
 use cometcroft_platform::{Platform, Task};
 use std::cell::RefCell;
@@ -95,11 +95,11 @@
 }
 
 /// The same with the carrier that `wrap` makes of the sidecar's own, as tests do that spoil what it does.
-pub async fn run_with<P: Platform, C: HttpBackend<Platform = P>>(
+pub async fn run_with<P: Platform, C: HttpTransport<Platform = P>>(
     platform: P,
     mut config: Config,
     parts: Parts<P>,
-    wrap: impl FnOnce(HttpCarrier<P>) -> C,
+    wrap: impl FnOnce(PooledTransport<P>) -> C,
 ) -> io::Result<()> {
     let Parts { listener, ops, control, life, counters, fleet } = parts;
     // Danger: where the listener is inherited a second process may run beside this one, and both count as one.
@@ -111,24 +111,25 @@
     let (instances, seed) = (config.settings.instances, config.seed);
     let member = fleet.map(|parts| Fleet::new(platform.clone(), parts, instances, seed.rotate_left(32)));
     let (fleet, meets) = member.unzip();
-    let pool = Pool::new(platform.clone(), to_backends, [idle, dial], counters.clone(), fleet.clone());
+    let pool =
+        ConnectionPool::new(platform.clone(), to_backends, [idle, dial], counters.clone(), fleet.clone());
     let directory = Rc::new(Directory::new(config.net.zones.clone(), ORIGIN, platform.unix()));
     let exchanger =
         Exchanger { pool: pool.clone(), directory: directory.clone(), counters: counters.clone() };
     let fields = Rc::new(RefCell::new(config.fields.into()));
-    let carrier = wrap(HttpCarrier { exchanger, fields: fields.clone(), fleet: fleet.clone() });
-    let register = Register::new(&config.net.classes, &config.settings.classes);
+    let carrier = wrap(PooledTransport { exchanger, fields: fields.clone(), fleet: fleet.clone() });
+    let register = ClassRegistry::new(&config.net.classes, &config.settings.classes);
     let said = fleet.as_ref().map(|_| (config.settings.clone(), config.net.clone()));
-    let host =
-        Host::new(carrier, config.settings, seed, ORIGIN, counters.clone()).map_err(io::Error::other)?;
+    let host = RequestDriver::new(carrier, config.settings, seed, ORIGIN, counters.clone())
+        .map_err(io::Error::other)?;
     counters.figures.name(&config.net.classes);
-    host.tell(Event::Start);
+    host.handle_event(Event::Start);
     let known = EndpointList::from_value(&std::mem::take(&mut config.known)).ok();
     let known = known.and_then(|list| directory.take(list, None).news());
     // Danger: beside a predecessor the list as last held is not good enough to serve by, and a watch would wait.
     let index = known.as_ref().map(|known| known.index).filter(|_| config.socket.is_none());
     if let Some(known) = known {
-        host.tell(Event::EndpointList { scope: ListScope::Restored, entries: known.entries });
+        host.handle_event(Event::EndpointList { scope: ListScope::Restored, entries: known.entries });
     }
     life.tell(|machine, _| machine.listed(!directory.is_empty(), false));
     // Another stream of numbers than the module's, from the same seed.
--- a/crates/sidecar/src/backend.rs
+++ b/crates/sidecar/src/pool.rs
@@ -18,14 +18,14 @@
 const SETTLE: Duration = Duration::from_millis(5);
 
 /// A connection that is in use; it counts against the limit until it is dropped or put back.
-pub struct Lease<P: Platform> {
+pub struct PooledConnection<P: Platform> {
     /// The connection.
     pub stream: P::Stream,
     address: SocketAddr,
-    _place: Place<P>,
+    _slot: PoolSlot<P>,
 }
 
-impl<P: Platform> Lease<P> {
+impl<P: Platform> PooledConnection<P> {
     /// Where the connection leads.
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -40,7 +40,7 @@
 }
 
 /// All connections to backend servers.
-pub struct Pool<P: Platform> {
+pub struct ConnectionPool<P: Platform> {
     platform: P,
     idle: RefCell<BTreeMap<EndpointId, Vec<Idle<P::Stream>>>>,
     taken: Cell<usize>,
@@ -51,7 +51,7 @@
     fleet: Option<Rc<Fleet<P>>>,
 }
 
-impl<P: Platform> Pool<P> {
+impl<P: Platform> ConnectionPool<P> {
     /// A pool of at most `most` connections, to machines that close what stands idle for `idle`.
     pub fn new(
         platform: P,
@@ -59,8 +59,8 @@
         [idle, connect_timeout]: [Duration; 2],
         counters: Rc<Counters>,
         fleet: Option<Rc<Fleet<P>>>,
-    ) -> Rc<Pool<P>> {
-        Rc::new(Pool {
+    ) -> Rc<ConnectionPool<P>> {
+        Rc::new(ConnectionPool {
             platform,
             idle: RefCell::default(),
             taken: Cell::new(0),
@@ -73,9 +73,9 @@
     }
 
     /// New settings.
-    pub fn retune(&self, idle: Duration, connect_timeout: Duration) {
+    pub fn apply_settings(&self, idle: Duration, connect_timeout: Duration) {
         self.keep.set(kept(idle));
-        self.attempt_delay.retune(connect_timeout);
+        self.attempt_delay.set_connect_timeout(connect_timeout);
     }
 
     /// A connection to a backend server: the one used last, if any is sound, or a new one.
@@ -84,26 +84,26 @@
         to: EndpointId,
         address: SocketAddr,
         until: Instant,
-    ) -> io::Result<Lease<P>> {
+    ) -> io::Result<PooledConnection<P>> {
         if let Some(stream) = self.reuse(to, address) {
             count(&self.counters.backend_reused);
-            return Ok(Lease { stream, address, _place: Place::take(self) });
+            return Ok(PooledConnection { stream, address, _slot: PoolSlot::take(self) });
         }
         if !self.has_room() && !self.evict() {
             return Err(io::Error::other("too many connections"));
         }
         // The place is taken before the wait, or many waiting at once would pass the limit.
-        let place = Place::take(self);
+        let slot = PoolSlot::take(self);
         self.await_budget(until).await?;
         let until = until.min(self.platform.now() + self.attempt_delay.connect_timeout());
-        let first = self.clone().connect(address, place);
+        let first = self.clone().connect(address, slot);
         // Only the first attempt may close idle connections to make room for itself.
         let further = || {
             self.has_room().then(|| {
-                let (pool, place) = (self.clone(), Place::take(self));
+                let (pool, slot) = (self.clone(), PoolSlot::take(self));
                 async move {
                     pool.await_budget(until).await?;
-                    pool.connect(address, place).await
+                    pool.connect(address, slot).await
                 }
             })
         };
@@ -123,13 +123,17 @@
     }
 
     /// One attempt at a new connection; the caller bounds it.
-    async fn connect(self: Rc<Self>, address: SocketAddr, place: Place<P>) -> io::Result<Lease<P>> {
+    async fn connect(
+        self: Rc<Self>,
+        address: SocketAddr,
+        slot: PoolSlot<P>,
+    ) -> io::Result<PooledConnection<P>> {
         let began = self.platform.now();
         let stream = self.platform.connect(address).await?;
         self.attempt_delay.learn(self.platform.since(began));
         send_promptly(&stream);
         count(&self.counters.backend_connections);
-        Ok(Lease { stream, address, _place: place })
+        Ok(PooledConnection { stream, address, _slot: slot })
     }
 
     fn has_room(&self) -> bool {
@@ -153,8 +157,8 @@
     }
 
     /// Keeps a connection whose answer has been read whole.
-    pub fn put(&self, to: EndpointId, lease: Lease<P>) {
-        let Lease { stream, address, .. } = lease;
+    pub fn put(&self, to: EndpointId, lease: PooledConnection<P>) {
+        let PooledConnection { stream, address, .. } = lease;
         let idle = Idle { stream, address, since: self.platform.now() };
         self.idle.borrow_mut().entry(to).or_default().push(idle);
     }
@@ -197,16 +201,16 @@
 }
 
 /// A place among the connections in use, given back when dropped.
-struct Place<P: Platform>(Rc<Pool<P>>);
+struct PoolSlot<P: Platform>(Rc<ConnectionPool<P>>);
 
-impl<P: Platform> Place<P> {
-    fn take(pool: &Rc<Pool<P>>) -> Place<P> {
+impl<P: Platform> PoolSlot<P> {
+    fn take(pool: &Rc<ConnectionPool<P>>) -> PoolSlot<P> {
         pool.taken.set(pool.taken.get() + 1);
-        Place(pool.clone())
+        PoolSlot(pool.clone())
     }
 }
 
-impl<P: Platform> Drop for Place<P> {
+impl<P: Platform> Drop for PoolSlot<P> {
     fn drop(&mut self) {
         self.0.taken.set(self.0.taken.get() - 1);
     }
--- a/crates/sidecar/src/probe.rs
+++ b/crates/sidecar/src/probe.rs
@@ -1,9 +1,9 @@
 //! Probes: what a backend server says of its load.
 
 use crate::counters::count;
-use crate::exchange::{Ends, Exchanger, Lack, Reply, Stage, without_answer};
+use crate::exchange::{Deadlines, EndpointResponse, Exchanger, NoResponse, Stage, outcome_without_response};
 use crate::http::client;
-use crate::session::Probed;
+use crate::requests::ProbeResult;
 use cometcroft::{EndpointId, LoadReport, Outcome};
 use cometcroft_platform::Platform;
 use cometcroft_settings::Field;
@@ -18,25 +18,27 @@
 const MOST: f64 = 1e6;
 
 /// Probes a backend server.
-pub async fn ask<P: Platform>(exchanger: &Exchanger<P>, fields: &[Field], to: EndpointId) -> Probed {
+pub async fn ask<P: Platform>(exchanger: &Exchanger<P>, fields: &[Field], to: EndpointId) -> ProbeResult {
     count(&exchanger.counters.probes);
     let platform = exchanger.pool.platform();
     let (stage, ends) = (Cell::new(Stage::Unwritten), platform.now() + PATIENCE);
-    let message = || client::get("/metrics/load", "backend.local");
+    let message = || client::encode_get("/metrics/load", "backend.local");
     let probed = match platform
         .timeout_at(
             ends,
-            exchanger.run(to, message, None, Ends { ends, latest: None }, || stage.set(Stage::Written)),
+            exchanger.run(to, message, None, Deadlines { end: ends, write_by: None }, || {
+                stage.set(Stage::Written)
+            }),
         )
         .await
     {
-        Ok(Ok(Reply { answer, .. })) => {
-            let text = if answer.body.is_empty() { answer.report() } else { Some(&answer.body) };
+        Ok(Ok(EndpointResponse { response: answer, .. })) => {
+            let text = if answer.body.is_empty() { answer.load_report() } else { Some(&answer.body) };
             let report = text.and_then(|text| report(text, fields));
             (if answer.status == 200 { Outcome::Ok } else { Outcome::Error }, report)
         }
-        Ok(Err(error)) => (without_answer(stage.get(), (&error).into()), None),
-        Err(_) => (without_answer(stage.get(), Lack::Late), None),
+        Ok(Err(error)) => (outcome_without_response(stage.get(), (&error).into()), None),
+        Err(_) => (outcome_without_response(stage.get(), NoResponse::TimedOut), None),
     };
     if probed.1.is_none() {
         count(&exchanger.counters.probe_failures);
--- a/crates/sidecar/src/session/host.rs
+++ b/crates/sidecar/src/requests/driver.rs
@@ -1,6 +1,6 @@
 //! The host of the table: runs its commands as tasks and feeds back what comes of them.
 
-use super::table::{Command, Ended, Opening, SessionId, Table, Verdict};
+use super::table::{AttemptResult, Command, FinalResponse, NewRequest, RequestNumber, RequestTable};
 use crate::counters::Counters;
 use cometcroft::{ClassId, EndpointId, Event, LoadReport, Outcome, Settings, SettingsError, Time};
 use cometcroft_platform::{Platform, Task};
@@ -13,60 +13,60 @@
 use tokio::sync::oneshot;
 
 /// Something that ends later.
-pub type Later<T> = Pin<Box<dyn Future<Output = T>>>;
+pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// How a probe ended: the outcome and the load report.
-pub type Probed = (Outcome, Option<LoadReport>);
+pub type ProbeResult = (Outcome, Option<LoadReport>);
 
 /// What brings dispatches and probes to backend servers, by some protocol.
-pub trait Carrier: 'static {
+pub trait Transport: 'static {
     /// Where clock and tasks come from.
     type Platform: Platform;
     /// What a dispatch carries.
     type Payload: Clone + 'static;
     /// What a backend server answers.
-    type Answer: 'static;
+    type Response: 'static;
     /// The clock and the tasks.
     fn platform(&self) -> &Self::Platform;
     /// One attempt. It ends within `timeout`, and is written whole by `latest` or not at all; dropped, it ends its
     /// connection.
-    fn dispatch(
+    fn send_attempt(
         &self,
         to: EndpointId,
         payload: Self::Payload,
         timeout: Duration,
-        latest: Option<Instant>,
-    ) -> Later<Ended<Self::Answer>>;
+        write_by: Option<Instant>,
+    ) -> LocalBoxFuture<AttemptResult<Self::Response>>;
     /// One probe.
-    fn probe(&self, to: EndpointId) -> Later<Probed>;
+    fn probe(&self, to: EndpointId) -> LocalBoxFuture<ProbeResult>;
     /// Closes idle connections.
     fn close_idle(&self, to: EndpointId);
 }
 
 /// Runs sessions. It owns the table, the clock, all timers and the tasks of all dispatches.
-pub struct Host<C: Carrier> {
-    carrier: C,
-    table: RefCell<Table<C::Payload, C::Answer>>,
-    waiting: RefCell<HashMap<SessionId, oneshot::Sender<Verdict<C::Answer>>>>,
-    running: RefCell<HashMap<SessionId, <C::Platform as Platform>::Task>>,
+pub struct RequestDriver<T: Transport> {
+    transport: T,
+    table: RefCell<RequestTable<T::Payload, T::Response>>,
+    waiting: RefCell<HashMap<RequestNumber, oneshot::Sender<FinalResponse<T::Response>>>>,
+    running: RefCell<HashMap<RequestNumber, <T::Platform as Platform>::Task>>,
     counters: Rc<Counters>,
     origin: Instant,
     origin_at: Time,
 }
 
-impl<C: Carrier> Host<C> {
+impl<T: Transport> RequestDriver<T> {
     /// A host whose module has not started yet. `origin` is the module's clock at this moment.
     pub fn new(
-        carrier: C,
+        transport: T,
         settings: Settings,
         seed: u64,
         origin: Time,
         counters: Rc<Counters>,
-    ) -> Result<Rc<Host<C>>, SettingsError> {
-        let began = carrier.platform().now();
-        Ok(Rc::new(Host {
-            carrier,
-            table: RefCell::new(Table::new(settings, seed, counters.clone())?),
+    ) -> Result<Rc<RequestDriver<T>>, SettingsError> {
+        let began = transport.platform().now();
+        Ok(Rc::new(RequestDriver {
+            transport,
+            table: RefCell::new(RequestTable::new(settings, seed, counters.clone())?),
             waiting: RefCell::default(),
             running: RefCell::default(),
             counters,
@@ -76,8 +76,8 @@
     }
 
     /// Where clock and tasks come from.
-    pub fn platform(&self) -> &C::Platform {
-        self.carrier.platform()
+    pub fn platform(&self) -> &T::Platform {
+        self.transport.platform()
     }
 
     /// The module's clock.
@@ -91,130 +91,134 @@
     }
 
     /// How many listed backend servers the module avoids now.
-    pub fn avoided(&self) -> usize {
-        self.table.borrow().avoided(self.now())
+    pub fn avoided_count(&self) -> usize {
+        self.table.borrow().avoided_count(self.now())
     }
 
     /// New settings. `from`: for each class, the one that it continues.
-    pub fn retune(self: &Rc<Self>, settings: Settings, from: Vec<Option<ClassId>>) {
-        let commands = self.table.borrow_mut().retune(self.now(), settings, from);
+    pub fn apply_settings(self: &Rc<Self>, settings: Settings, from: Vec<Option<ClassId>>) {
+        let commands = self.table.borrow_mut().apply_settings(self.now(), settings, from);
         self.run(commands);
     }
 
     /// How many sessions are owed an answer.
-    pub fn owed(&self) -> usize {
-        self.table.borrow().owed()
+    pub fn unanswered_count(&self) -> usize {
+        self.table.borrow().unanswered_count()
     }
 
     /// Tells the module something that concerns no session.
-    pub fn tell(self: &Rc<Self>, event: Event) {
-        let commands = self.table.borrow_mut().tell(self.now(), event);
+    pub fn handle_event(self: &Rc<Self>, event: Event) {
+        let commands = self.table.borrow_mut().handle_event(self.now(), event);
         self.run(commands);
     }
 
     /// Serves one session until its final answer, at `due` at the latest. Dropped, it tells that the client
     /// has left.
-    pub async fn serve(self: &Rc<Self>, opening: Opening<C::Payload>, due: Instant) -> Verdict<C::Answer> {
+    pub async fn serve(
+        self: &Rc<Self>,
+        opening: NewRequest<T::Payload>,
+        due: Instant,
+    ) -> FinalResponse<T::Response> {
         let (sender, receiver) = oneshot::channel();
-        let (id, commands) = self.table.borrow_mut().open(self.now(), opening);
+        let (id, commands) = self.table.borrow_mut().add_request(self.now(), opening);
         self.waiting.borrow_mut().insert(id, sender);
-        let mut guard = Withdrawal { host: self.clone(), id, armed: true };
+        let mut guard = Withdrawal { driver: self.clone(), id, armed: true };
         self.run(commands);
         let mut receiver = receiver;
         let verdict = match self.platform().timeout_at(due, &mut receiver).await {
             Ok(verdict) => verdict.ok(),
             Err(_) => {
-                let commands = self.table.borrow_mut().overdue(self.now(), id);
+                let commands = self.table.borrow_mut().deadline_passed(self.now(), id);
                 self.run(commands);
                 receiver.try_recv().ok()
             }
         };
         guard.armed = false;
-        verdict.unwrap_or(Verdict::Overdue)
+        verdict.unwrap_or(FinalResponse::TimedOut)
     }
 
-    fn run(self: &Rc<Self>, commands: Vec<Command<C::Payload, C::Answer>>) {
+    fn run(self: &Rc<Self>, commands: Vec<Command<T::Payload, T::Response>>) {
         for command in commands {
             match command {
-                Command::Dispatch { session, attempt, endpoint, timeout, latest, payload } => {
-                    let latest = latest.map(|at| self.origin + at.saturating_sub(self.origin_at));
-                    self.dispatch(session, attempt, endpoint, (timeout, latest), payload);
+                Command::StartAttempt { request, attempt, endpoint, timeout, write_by, payload } => {
+                    let write_by = write_by.map(|at| self.origin + at.saturating_sub(self.origin_at));
+                    self.start_attempt(request, attempt, endpoint, (timeout, write_by), payload);
                 }
-                Command::Abandon(session) => {
-                    if let Some(task) = self.running.borrow().get(&session) {
+                Command::CancelAttempt(request) => {
+                    if let Some(task) = self.running.borrow().get(&request) {
                         task.abort();
                     }
                 }
-                Command::Answer(session, verdict) => {
-                    if let Some(sender) = self.waiting.borrow_mut().remove(&session) {
+                Command::Respond(request, verdict) => {
+                    if let Some(sender) = self.waiting.borrow_mut().remove(&request) {
                         // The client may have left in the same instant; then nobody listens.
                         let _ = sender.send(verdict);
                     }
                 }
-                Command::Forget(session) => {
-                    self.waiting.borrow_mut().remove(&session);
-                    self.running.borrow_mut().remove(&session);
+                Command::Remove(request) => {
+                    self.waiting.borrow_mut().remove(&request);
+                    self.running.borrow_mut().remove(&request);
                 }
-                Command::Timer(after, timer) => {
-                    let host = self.clone();
+                Command::SetTimer(after, timer) => {
+                    let driver = self.clone();
                     self.platform().detach(async move {
-                        host.platform().sleep(after).await;
-                        host.tell(Event::Timer(timer));
+                        driver.platform().sleep(after).await;
+                        driver.handle_event(Event::Timer(timer));
                     });
                 }
                 Command::Probe(endpoint) => {
-                    let (host, began) = (self.clone(), self.platform().now());
-                    let probe = self.carrier.probe(endpoint);
+                    let (driver, began) = (self.clone(), self.platform().now());
+                    let probe = self.transport.probe(endpoint);
                     self.platform().detach(async move {
                         let (outcome, report) = probe.await;
-                        let latency = host.platform().since(began);
-                        host.tell(Event::Probed { endpoint, outcome, latency, report });
+                        let latency = driver.platform().since(began);
+                        driver.handle_event(Event::Probed { endpoint, outcome, latency, report });
                     });
                 }
-                Command::CloseIdle(endpoint) => self.carrier.close_idle(endpoint),
+                Command::CloseIdle(endpoint) => self.transport.close_idle(endpoint),
             }
         }
     }
 
-    fn dispatch(
+    fn start_attempt(
         self: &Rc<Self>,
-        session: SessionId,
+        request: RequestNumber,
         attempt: u32,
         endpoint: EndpointId,
-        (timeout, latest): (Duration, Option<Instant>),
-        payload: C::Payload,
+        (timeout, write_by): (Duration, Option<Instant>),
+        payload: T::Payload,
     ) {
-        let host = self.clone();
+        let driver = self.clone();
         let ends = self.platform().now() + timeout;
-        let before = self.running.borrow_mut().remove(&session);
+        let before = self.running.borrow_mut().remove(&request);
         let task = self.platform().spawn(async move {
             // Danger: an attempt that was given up holds its connection until its task is dropped; a second
             // one begun before that would be two at once.
             if let Some(before) = before {
                 before.await;
             }
-            let left = ends.saturating_duration_since(host.platform().now());
-            let ended = host.carrier.dispatch(endpoint, payload, left, latest).await;
-            let commands = host.table.borrow_mut().ended(host.now(), session, attempt, ended);
-            host.run(commands);
+            let left = ends.saturating_duration_since(driver.platform().now());
+            let ended = driver.transport.send_attempt(endpoint, payload, left, write_by).await;
+            let commands = driver.table.borrow_mut().attempt_ended(driver.now(), request, attempt, ended);
+            driver.run(commands);
         });
-        self.running.borrow_mut().insert(session, task);
+        self.running.borrow_mut().insert(request, task);
     }
 }
 
 /// Tells the table that a client has left when its session is dropped unanswered.
-struct Withdrawal<C: Carrier> {
-    host: Rc<Host<C>>,
-    id: SessionId,
+struct Withdrawal<T: Transport> {
+    driver: Rc<RequestDriver<T>>,
+    id: RequestNumber,
     armed: bool,
 }
 
-impl<C: Carrier> Drop for Withdrawal<C> {
+impl<T: Transport> Drop for Withdrawal<T> {
     fn drop(&mut self) {
         if self.armed {
-            self.host.waiting.borrow_mut().remove(&self.id);
-            let commands = self.host.table.borrow_mut().withdraw(self.host.now(), self.id);
-            self.host.run(commands);
+            self.driver.waiting.borrow_mut().remove(&self.id);
+            let commands = self.driver.table.borrow_mut().client_disconnected(self.driver.now(), self.id);
+            self.driver.run(commands);
         }
     }
 }
--- a/crates/sidecar/src/session/table.rs
+++ b/crates/sidecar/src/requests/table.rs
@@ -7,57 +7,57 @@
 use std::time::Duration;
 
 /// A session; the module knows it as a request of this number.
-pub type SessionId = u64;
+pub type RequestNumber = u64;
 
 /// What a frontend says of a new session.
 #[derive(Debug, Clone)]
-pub struct Opening<P> {
+pub struct NewRequest<P> {
     /// Its class.
     pub class: ClassId,
     /// Its tenant, where there are any.
     pub tenant: Option<TenantId>,
     /// The time until its final answer is due.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Its client says that it is not its first try.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// What a dispatch carries to a backend server.
     pub payload: P,
 }
 
 /// The one final answer to a session.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Verdict<A> {
+pub enum FinalResponse<A> {
     /// A backend server's answer.
     Served(A),
     /// Denied: to try again is harmless.
-    Denied {
+    Rejected {
         /// Advice to stay away for so long.
         retry_after: Option<Duration>,
     },
     /// Failed, with no promise.
     Failed,
     /// No answer in time.
-    Overdue,
+    TimedOut,
 }
 
 /// How a dispatch ended.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ended<A> {
+pub struct AttemptResult<A> {
     /// How.
     pub outcome: Outcome,
     /// The backend server's load report, if one came along.
     pub report: Option<LoadReport>,
     /// The answer to hand on, if it was served.
-    pub answer: Option<A>,
+    pub response: Option<A>,
 }
 
 /// What the table wants carried out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command<P, A> {
     /// Begin a dispatch.
-    Dispatch {
+    StartAttempt {
         /// Of which session.
-        session: SessionId,
+        request: RequestNumber,
         /// Its number, counted from 0.
         attempt: u32,
         /// To which backend server.
@@ -65,18 +65,18 @@
         /// It is given up after this time.
         timeout: Duration,
         /// It is written whole by then or not at all: from then on its repeat may not be dropped any more.
-        latest: Option<Time>,
+        write_by: Option<Time>,
         /// What it carries.
         payload: P,
     },
     /// Give up the dispatch that a session has out.
-    Abandon(SessionId),
+    CancelAttempt(RequestNumber),
     /// Give a session its final answer.
-    Answer(SessionId, Verdict<A>),
+    Respond(RequestNumber, FinalResponse<A>),
     /// A session is over and nothing of it is out.
-    Forget(SessionId),
+    Remove(RequestNumber),
     /// Call [`Table::timer`] after this time.
-    Timer(Duration, Timer),
+    SetTimer(Duration, Timer),
     /// Ask a backend server for its load.
     Probe(EndpointId),
     /// Close the idle connections to a backend server.
@@ -84,7 +84,7 @@
 }
 
 #[derive(Debug)]
-struct Dispatch {
+struct Attempt {
     endpoint: EndpointId,
     began: Time,
     out: bool,
@@ -93,14 +93,14 @@
 }
 
 #[derive(Debug)]
-struct Session<P> {
+struct OpenRequest<P> {
     payload: P,
     class: ClassId,
-    dispatches: Vec<Dispatch>,
+    dispatches: Vec<Attempt>,
     answered: bool,
 }
 
-impl<P> Session<P> {
+impl<P> OpenRequest<P> {
     /// When the first dispatch began that may have run.
     fn may_have_run(&self) -> Option<Time> {
         self.dispatches.iter().find(|d| !d.void).map(|d| d.began)
@@ -112,22 +112,26 @@
 
 /// All sessions of a sidecar and the module that decides on them.
 #[derive(Debug)]
-pub struct Table<P, A> {
+pub struct RequestTable<P, A> {
     balancer: Balancer,
     most: usize,
     effects: Vec<Effect>,
-    sessions: HashMap<SessionId, Session<P>>,
-    next: SessionId,
+    sessions: HashMap<RequestNumber, OpenRequest<P>>,
+    next: RequestNumber,
     events: VecDeque<Event>,
     actions: Vec<Action>,
     commands: Vec<Command<P, A>>,
     counters: Rc<Counters>,
 }
 
-impl<P: Clone, A> Table<P, A> {
+impl<P: Clone, A> RequestTable<P, A> {
     /// A table with a module of its own.
-    pub fn new(settings: Settings, seed: u64, counters: Rc<Counters>) -> Result<Table<P, A>, SettingsError> {
-        Ok(Table {
+    pub fn new(
+        settings: Settings,
+        seed: u64,
+        counters: Rc<Counters>,
+    ) -> Result<RequestTable<P, A>, SettingsError> {
+        Ok(RequestTable {
             most: settings.limits.max_attempts as usize,
             effects: effects(&settings),
             balancer: Balancer::new(settings, seed)?,
@@ -141,23 +145,23 @@
     }
 
     /// How many listed backend servers the module avoids now.
-    pub fn avoided(&self, now: Time) -> usize {
+    pub fn avoided_count(&self, now: Time) -> usize {
         self.balancer.avoided_count(now)
     }
 
     /// How many sessions are owed an answer.
-    pub fn owed(&self) -> usize {
+    pub fn unanswered_count(&self) -> usize {
         self.sessions.values().filter(|s| !s.answered).count()
     }
 
     /// Tells the module something that concerns no session.
-    pub fn tell(&mut self, now: Time, event: Event) -> Vec<Command<P, A>> {
+    pub fn handle_event(&mut self, now: Time, event: Event) -> Vec<Command<P, A>> {
         self.events.push_back(event);
         self.run(now)
     }
 
     /// New settings. `from`: for each class, the one that it continues. Fewer attempts bind all sessions from now on.
-    pub fn retune(
+    pub fn apply_settings(
         &mut self,
         now: Time,
         settings: Settings,
@@ -165,25 +169,34 @@
     ) -> Vec<Command<P, A>> {
         self.most = settings.limits.max_attempts as usize;
         self.effects = effects(&settings);
-        self.tell(now, Event::SettingsChanged { settings: Box::new(settings), previous_classes: from })
+        self.handle_event(
+            now,
+            Event::SettingsChanged { settings: Box::new(settings), previous_classes: from },
+        )
     }
 
     /// A session has come in.
-    pub fn open(&mut self, now: Time, opening: Opening<P>) -> (SessionId, Vec<Command<P, A>>) {
-        let (id, Opening { class, tenant, left, repeat, payload }) = (self.next, opening);
+    pub fn add_request(&mut self, now: Time, opening: NewRequest<P>) -> (RequestNumber, Vec<Command<P, A>>) {
+        let (id, NewRequest { class, tenant, time_left, client_retry, payload }) = (self.next, opening);
         self.next += 1;
         count(&self.counters.sessions);
-        self.sessions.insert(id, Session { payload, class, dispatches: Vec::new(), answered: false });
+        self.sessions.insert(id, OpenRequest { payload, class, dispatches: Vec::new(), answered: false });
         let request = RequestId(id);
-        let commands = self.tell(
+        let commands = self.handle_event(
             now,
-            Event::Request { request, class, tenant, time_left: left, work_hint: None, client_retry: repeat },
+            Event::Request { request, class, tenant, time_left, work_hint: None, client_retry },
         );
         (id, commands)
     }
 
     /// A dispatch has ended.
-    pub fn ended(&mut self, now: Time, id: SessionId, attempt: u32, ended: Ended<A>) -> Vec<Command<P, A>> {
+    pub fn attempt_ended(
+        &mut self,
+        now: Time,
+        id: RequestNumber,
+        attempt: u32,
+        ended: AttemptResult<A>,
+    ) -> Vec<Command<P, A>> {
         let Some(session) = self.sessions.get_mut(&id) else { return Vec::new() };
         let Some(dispatch) = session.dispatches.get_mut(attempt as usize).filter(|d| d.out) else {
             // It was given up in the same instant and the module has been told so.
@@ -192,7 +205,7 @@
         dispatch.out = false;
         dispatch.void = ended.outcome.never_ran();
         let (endpoint, latency) = (dispatch.endpoint, now.saturating_sub(dispatch.began));
-        let Ended { outcome, report, answer } = ended;
+        let AttemptResult { outcome, report, response: answer } = ended;
         count(match outcome {
             Outcome::Ok => &self.counters.dispatch_ok,
             Outcome::Error => &self.counters.dispatch_error,
@@ -206,7 +219,7 @@
         if let (Some(answer), Outcome::Ok, false) = (answer, outcome, session.answered) {
             session.answered = true;
             count(&self.counters.served);
-            self.commands.push(Command::Answer(id, Verdict::Served(answer)));
+            self.commands.push(Command::Respond(id, FinalResponse::Served(answer)));
         }
         let (request, finished) = (RequestId(id), session.answered);
         let event = Event::Outcome { request, attempt, endpoint, finished, outcome, latency, report };
@@ -215,7 +228,7 @@
     }
 
     /// The client has left; nothing is owed.
-    pub fn withdraw(&mut self, now: Time, id: SessionId) -> Vec<Command<P, A>> {
+    pub fn client_disconnected(&mut self, now: Time, id: RequestNumber) -> Vec<Command<P, A>> {
         match self.sessions.get_mut(&id).filter(|s| !s.answered) {
             Some(session) => session.answered = true,
             None => return Vec::new(),
@@ -225,32 +238,32 @@
     }
 
     /// The answer is due now, whatever the module waits for.
-    pub fn overdue(&mut self, now: Time, id: SessionId) -> Vec<Command<P, A>> {
+    pub fn deadline_passed(&mut self, now: Time, id: RequestNumber) -> Vec<Command<P, A>> {
         match self.sessions.get_mut(&id).filter(|s| !s.answered) {
             Some(session) => session.answered = true,
             None => return Vec::new(),
         }
         count(&self.counters.overdue);
-        self.commands.push(Command::Answer(id, Verdict::Overdue));
+        self.commands.push(Command::Respond(id, FinalResponse::TimedOut));
         self.close(now, id)
     }
 
-    fn close(&mut self, now: Time, id: SessionId) -> Vec<Command<P, A>> {
+    fn close(&mut self, now: Time, id: RequestNumber) -> Vec<Command<P, A>> {
         self.events.push_back(Event::ClientDisconnected(RequestId(id)));
         let mut commands = self.run(now);
         // The module calls off what is out only where that is permitted; a dispatch that nobody waits for is
         // ended all the same, as its connection would stay taken.
-        self.abandon(now, id);
+        self.cancel_attempts(now, id);
         commands.extend(self.run(now));
         commands
     }
 
-    fn abandon(&mut self, now: Time, id: SessionId) {
+    fn cancel_attempts(&mut self, now: Time, id: RequestNumber) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         for (attempt, dispatch) in session.dispatches.iter_mut().enumerate().filter(|(_, d)| d.out) {
             dispatch.out = false;
             count(&self.counters.dispatch_cancelled);
-            self.commands.push(Command::Abandon(id));
+            self.commands.push(Command::CancelAttempt(id));
             self.events.push_back(Event::Outcome {
                 request: RequestId(id),
                 attempt: attempt as u32,
@@ -280,7 +293,7 @@
                 && self.sessions.get(&id).is_some_and(|s| s.answered && s.dispatches.iter().all(|d| !d.out))
             {
                 self.sessions.remove(&id);
-                self.commands.push(Command::Forget(id));
+                self.commands.push(Command::Remove(id));
             }
         }
         std::mem::take(&mut self.commands)
@@ -290,11 +303,11 @@
         match action {
             Action::Send { request, endpoint, timeout } => self.send(now, request.0, endpoint, timeout),
             Action::Reject { request, retry_after } => {
-                self.answer(now, request.0, Verdict::Denied { retry_after });
+                self.answer(now, request.0, FinalResponse::Rejected { retry_after });
             }
-            Action::Fail(request) => self.answer(now, request.0, Verdict::Failed),
-            Action::Cancel { request, .. } => self.abandon(now, request.0),
-            Action::SetTimer { after, timer } => self.commands.push(Command::Timer(after, timer)),
+            Action::Fail(request) => self.answer(now, request.0, FinalResponse::Failed),
+            Action::Cancel { request, .. } => self.cancel_attempts(now, request.0),
+            Action::SetTimer { after, timer } => self.commands.push(Command::SetTimer(after, timer)),
             Action::Probe(endpoint) => self.commands.push(Command::Probe(endpoint)),
             Action::CloseIdle(endpoint) => self.commands.push(Command::CloseIdle(endpoint)),
             // Discovery is watched from the start, whether the module would ask or lists are pushed: `watch`.
@@ -302,7 +315,7 @@
         }
     }
 
-    fn send(&mut self, now: Time, id: SessionId, endpoint: EndpointId, timeout: Duration) {
+    fn send(&mut self, now: Time, id: RequestNumber, endpoint: EndpointId, timeout: Duration) {
         let Some(session) = self.sessions.get_mut(&id) else {
             invariant(&self.counters, false, "only known sessions are dispatched");
             return;
@@ -323,7 +336,7 @@
         };
         // Never two at once, whatever was decided: what can't be sent is reported as never sent.
         let moot = out || session.answered || twice || attempt >= self.most;
-        session.dispatches.push(Dispatch { endpoint, began: now, out: !moot, void: moot });
+        session.dispatches.push(Attempt { endpoint, began: now, out: !moot, void: moot });
         let attempt = attempt as u32;
         if moot {
             count(&self.counters.dispatch_moot);
@@ -336,16 +349,23 @@
         }
         count(&self.counters.dispatches);
         let payload = session.payload.clone();
-        self.commands.push(Command::Dispatch { session: id, attempt, endpoint, timeout, latest, payload });
+        self.commands.push(Command::StartAttempt {
+            request: id,
+            attempt,
+            endpoint,
+            timeout,
+            write_by: latest,
+            payload,
+        });
     }
 
-    fn answer(&mut self, now: Time, id: SessionId, verdict: Verdict<A>) {
+    fn answer(&mut self, now: Time, id: RequestNumber, verdict: FinalResponse<A>) {
         let Some(session) = self.sessions.get_mut(&id).filter(|s| !s.answered) else { return };
         session.answered = true;
-        let denied = matches!(verdict, Verdict::Denied { .. });
+        let denied = matches!(verdict, FinalResponse::Rejected { .. });
         count(if denied { &self.counters.denied } else { &self.counters.failed });
-        self.commands.push(Command::Answer(id, verdict));
-        self.abandon(now, id);
+        self.commands.push(Command::Respond(id, verdict));
+        self.cancel_attempts(now, id);
     }
 }
 
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -10,9 +10,9 @@
 
 /// So much of a body is gathered before it is sent on, where the memory for it is there; what is whole by then can be
 /// sent again. Danger: a slow client would hold a connection to a backend server for as long as it takes.
-pub const GATHERED: usize = 1 << 20;
+pub const MAX_BUFFERED: usize = 1 << 20;
 /// So much of it is held once it is on its way.
-const WINDOW: usize = 64 * 1024;
+const SEND_WINDOW: usize = 64 * 1024;
 /// What a piece costs beside its bytes. Danger: a client that sends single bytes would be held at forty times their
 /// number.
 const PIECE: usize = 64;
@@ -25,19 +25,19 @@
 
 /// Memory for bodies, shared by all of them.
 #[derive(Debug)]
-pub struct Budget {
+pub struct BodyMemory {
     most: usize,
     taken: Cell<usize>,
 }
 
-impl Budget {
+impl BodyMemory {
     /// So many bytes in all.
-    pub fn new(most: usize) -> Rc<Budget> {
-        Rc::new(Budget { most, taken: Cell::new(0) })
+    pub fn new(most: usize) -> Rc<BodyMemory> {
+        Rc::new(BodyMemory { most, taken: Cell::new(0) })
     }
 
     /// What is taken now.
-    pub fn taken(&self) -> usize {
+    pub fn reserved(&self) -> usize {
         self.taken.get()
     }
 
@@ -53,7 +53,7 @@
 /// A large body.
 #[derive(Debug)]
 pub struct Upload {
-    budget: Rc<Budget>,
+    budget: Rc<BodyMemory>,
     /// Its length, if its head told.
     pub length: Option<usize>,
     pieces: RefCell<VecDeque<Bytes>>,
@@ -73,7 +73,7 @@
 
 impl Upload {
     /// One of which nothing has come.
-    pub fn new(budget: Rc<Budget>, length: Option<usize>) -> Upload {
+    pub fn new(budget: Rc<BodyMemory>, length: Option<usize>) -> Upload {
         Upload {
             budget,
             length,
@@ -105,17 +105,17 @@
     }
 
     /// All has come.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.whole.get()
     }
 
     /// Whether more of it may be gathered before it is sent on.
-    pub fn gathers(&self) -> bool {
-        if self.whole.get() || self.held.get() >= GATHERED {
+    pub fn reserve_buffer(&self) -> bool {
+        if self.whole.get() || self.held.get() >= MAX_BUFFERED {
             return false;
         }
         // Booked ahead by the window, as a read may bring that much.
-        let wanted = (self.held.get() + WINDOW).saturating_sub(self.booked.get());
+        let wanted = (self.held.get() + SEND_WINDOW).saturating_sub(self.booked.get());
         let fits = self.budget.take(wanted);
         if fits {
             self.booked.set(self.booked.get() + wanted);
@@ -124,12 +124,12 @@
     }
 
     /// It is not sent on yet.
-    pub fn gathering(&self) -> bool {
+    pub fn is_buffering(&self) -> bool {
         !self.begun.get()
     }
 
     /// It is sent on from here on: what is whole stays, anything else goes as it is written.
-    pub fn begin(&self) {
+    pub fn start_sending(&self) {
         self.begun.set(true);
         self.kept.set(self.whole.get());
         if !self.kept.get() {
@@ -143,13 +143,13 @@
     }
 
     /// No attempt can be made any more.
-    pub fn spent(&self) -> bool {
+    pub fn has_discarded(&self) -> bool {
         self.spent.get()
     }
 
     /// Waits until more may be read.
-    pub async fn room(&self) {
-        while self.held.get() >= WINDOW {
+    pub async fn wait_for_room(&self) {
+        while self.held.get() >= SEND_WINDOW {
             self.drained.notified().await;
         }
     }
@@ -176,7 +176,7 @@
     }
 
     /// How long the rest will take to come, if it goes on as it did in `gone`.
-    pub fn expected(&self, gone: Duration) -> Duration {
+    pub fn expected_time_left(&self, gone: Duration) -> Duration {
         let rest = self.length.unwrap_or(self.came.get() + UNTOLD).saturating_sub(self.came.get());
         if self.whole.get() || rest == 0 {
             return Duration::ZERO;
@@ -187,7 +187,7 @@
 
     /// What it is framed by on its way on: its length, if that was known when it began. Danger: it may become whole
     /// between its head and its first piece; what the head said stands.
-    pub fn framing(&self) -> Option<usize> {
+    pub fn declared_length(&self) -> Option<usize> {
         self.length.or_else(|| self.kept.get().then(|| self.came.get()))
     }
 }
@@ -200,32 +200,32 @@
 
 /// How long a client is waited for while its body comes: only the time counts in which we wait.
 #[derive(Debug)]
-pub struct Patience {
+pub struct ReadTimeout {
     since: Instant,
     waited: Duration,
     came: usize,
 }
 
-impl Patience {
+impl ReadTimeout {
     /// Patience that begins now.
-    pub fn new(now: Instant) -> Patience {
-        Patience { since: now, waited: Duration::ZERO, came: 0 }
+    pub fn new(now: Instant) -> ReadTimeout {
+        ReadTimeout { since: now, waited: Duration::ZERO, came: 0 }
     }
 
     /// A wait begins; when it has been too long.
-    pub fn wait(&mut self, now: Instant) -> Instant {
+    pub fn start_wait(&mut self, now: Instant) -> Instant {
         self.since = now;
         let earned = PAUSE + Duration::from_secs_f64(self.came as f64 / SLOWEST);
         now + PAUSE.min(earned.saturating_sub(self.waited))
     }
 
     /// How long was waited in all.
-    pub fn gone(&self) -> Duration {
+    pub fn waited(&self) -> Duration {
         self.waited
     }
 
     /// It has ended with so many bytes.
-    pub fn came(&mut self, now: Instant, bytes: usize) {
+    pub fn end_wait(&mut self, now: Instant, bytes: usize) {
         self.waited += now.saturating_duration_since(self.since);
         self.came += bytes;
     }
--- a/crates/sidecar/tests/crossings.rs
+++ b/crates/sidecar/tests/crossings.rs
@@ -4,11 +4,11 @@
 mod common;
 
 use cometcroft_platform::{Platform, Tokio};
-use cometcroft_sidecar::backend::Pool;
 use cometcroft_sidecar::counters::Counters;
 use cometcroft_sidecar::directory::Directory;
 use cometcroft_sidecar::endpoint_list::EndpointList;
-use cometcroft_sidecar::exchange::{Ends, Exchanger};
+use cometcroft_sidecar::exchange::{Deadlines, Exchanger};
+use cometcroft_sidecar::pool::ConnectionPool;
 use common::story::{
     BOOK, Gated, PLAN, Peer, confirm_all, confirmed_story, confirmed_story_with, next, pushed, reaches, rest,
     row, slow_dials, story, story_with, watch,
@@ -675,7 +675,7 @@
         let (at, to, second) =
             (listener.local_addr().expect("an address"), cometcroft::EndpointId(0), Duration::from_secs(1));
         let (platform, counters) = (Gated::default(), std::rc::Rc::new(Counters::default()));
-        let pool = Pool::new(platform.clone(), 2, [5 * second, second], counters.clone(), None);
+        let pool = ConnectionPool::new(platform.clone(), 2, [5 * second, second], counters.clone(), None);
         let get = || pool.get(to, at, Tokio.now() + 9 * second);
         platform.0.shut(at);
         {
@@ -726,12 +726,12 @@
         peer.say("x").await;
         let counters = Rc::new(Counters::default());
         let second = Duration::from_secs(1);
-        let pool = Pool::new(Tokio, 2, [5 * second, second], counters.clone(), None);
+        let pool = ConnectionPool::new(Tokio, 2, [5 * second, second], counters.clone(), None);
         let directory = Rc::new(directory);
         let exchanger = Exchanger { pool, directory: directory.clone(), counters };
-        let (to, ends) = (entries[0].endpoint, Ends { ends: Tokio.now() + 2 * second, latest: None });
+        let (to, ends) = (entries[0].endpoint, Deadlines { end: Tokio.now() + 2 * second, write_by: None });
         let attempt = tokio::task::spawn_local(async move {
-            exchanger.run(to, || PLAN.as_bytes().into(), None, ends, || {}).await.map(|reply| reply.answer.status)
+            exchanger.run(to, || PLAN.as_bytes().into(), None, ends, || {}).await.map(|reply| reply.response.status)
         });
         let mut server = next(&server).await;
         Tokio.sleep(300 * MS).await;
--- a/crates/sidecar/tests/http.rs
+++ b/crates/sidecar/tests/http.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bytes::BytesMut;
-use cometcroft_sidecar::http::client::{Exchange, forward};
+use cometcroft_sidecar::http::client::{ResponseReader, encode_request};
 use cometcroft_sidecar::http::server::{Connection, Request, Status, Step};
 use proptest::prelude::*;
 use std::time::Duration;
@@ -81,19 +81,19 @@
             if let Some(wait) = owed {
                 prop_assert!(matches!(machine.step(), Step::More), "nothing new while an answer is owed");
                 if wait == 0 || rest.is_empty() {
-                    machine.answer(Status::Ok, "", 0, false);
+                    machine.response_head(Status::Ok, "", 0, false);
                     owed = None;
                 } else {
                     owed = Some(wait - 1);
                 }
             }
-            if owed.is_none() && !machine.closed() {
+            if owed.is_none() && !machine.is_closed() {
                 match machine.step() {
                     Step::Request(request) => {
                         let target = format!("/plan/{came}?q");
                         prop_assert_eq!(&request.target[..], target.as_bytes());
                         prop_assert_eq!(&request.body[..], &requests[came].body[..]);
-                        prop_assert_eq!(request.class(), b"plan");
+                        prop_assert_eq!(request.class_name(), b"plan");
                         came += 1;
                         owed = patience.next().copied();
                         continue;
@@ -104,7 +104,7 @@
                     Step::More => {}
                 }
             }
-            if machine.closed() {
+            if machine.is_closed() {
                 break;
             }
             let piece = rest.len().min(*pieces.next().unwrap_or(&1));
@@ -129,7 +129,7 @@
         if whole && more {
             bytes.extend(b"HTTP");
         }
-        let (mut exchange, mut rest, mut answer) = (Exchange::new(64 * 1024), &bytes[..], None);
+        let (mut exchange, mut rest, mut answer) = (ResponseReader::new(64 * 1024), &bytes[..], None);
         let mut pieces = pieces.iter().cycle();
         while !rest.is_empty() {
             let piece = rest.len().min(*pieces.next().unwrap_or(&1));
@@ -157,7 +157,7 @@
         machine.buffer().extend_from_slice(&start[..start.len() - cut]);
         machine.buffer().extend_from_slice(&bytes);
         machine.step();
-        let mut exchange = Exchange::new(100);
+        let mut exchange = ResponseReader::new(100);
         exchange.buffer().extend_from_slice(b"HTTP/1.1 200");
         exchange.buffer().extend_from_slice(&bytes);
         let _ = exchange.step(true);
@@ -216,18 +216,19 @@
     let mut machine = Connection::default();
     machine.buffer().extend_from_slice(&BytesMut::from(&vec![b'a'; 17 * 1024][..]));
     assert!(matches!(machine.step(), Step::Reject(Status::HeadTooLarge)));
-    assert!(machine.closed());
+    assert!(machine.is_closed());
 }
 
 #[test]
 fn budgets_have_a_unit_and_no_tricks() {
-    let budget = |value: &str| parse(&format!("GET /p HTTP/1.1\r\nX-Budget: {value}\r\n\r\n")).budget().ok();
+    let budget =
+        |value: &str| parse(&format!("GET /p HTTP/1.1\r\nX-Budget: {value}\r\n\r\n")).time_budget().ok();
     assert_eq!(budget("480m"), Some(Duration::from_millis(480)));
     assert_eq!(budget("1500u"), Some(Duration::from_micros(1500)));
     for bad in ["", "m", "480", "-3m", "1e3m", "infm", "NaNm", "0m", "480s", "4 80m", "ém"] {
         assert_eq!(budget(bad), None, "{bad}");
     }
-    assert!(parse("GET /p HTTP/1.1\r\n\r\n").budget().is_err());
+    assert!(parse("GET /p HTTP/1.1\r\n\r\n").time_budget().is_err());
 }
 
 #[test]
@@ -236,7 +237,7 @@
         "POST /book/7?x=%20 HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9\r\nX-Budget: 480m\r\nConnection: keep-alive, \
          X-Hop\r\nX-Hop: 1\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi",
     );
-    let out = forward(&request, Duration::from_millis(250));
+    let out = encode_request(&request, Duration::from_millis(250));
     let expected = "POST /book/7?x=%20 HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9\r\nIdempotency-Key: k\r\n\
                     X-Budget: 250000u\r\nContent-Length: 2\r\n\r\nhi";
     assert_eq!(std::str::from_utf8(&out), Ok(expected));
--- a/crates/sidecar/tests/loopback.rs
+++ b/crates/sidecar/tests/loopback.rs
@@ -603,7 +603,7 @@
 
 /// What a client gets of an answer until its connection ends: its body, and whether that is whole.
 fn body_of(text: &[u8]) -> (Vec<u8>, bool) {
-    let mut exchange = cometcroft_sidecar::http::client::Exchange::new(64 << 20);
+    let mut exchange = cometcroft_sidecar::http::client::ResponseReader::new(64 << 20);
     exchange.buffer().extend_from_slice(text);
     match exchange.step(false) {
         Ok(Some(answer)) => (answer.body.to_vec(), true),
--- a/crates/sidecar/tests/parts.rs
+++ b/crates/sidecar/tests/parts.rs
@@ -5,20 +5,20 @@
 use cometcroft::*;
 use cometcroft_platform::{Platform, Tokio};
 use cometcroft_settings::Field;
-use cometcroft_sidecar::backend::Pool;
-use cometcroft_sidecar::classes::{AROUND, Form, Register};
+use cometcroft_sidecar::classes::{CHANGE_OVERLAP, ClassRegistry, RequestForm};
 use cometcroft_sidecar::config::Config;
 use cometcroft_sidecar::counters::Counters;
 use cometcroft_sidecar::directory::{Directory, News};
 use cometcroft_sidecar::endpoint_list::{EndpointList, EndpointRecord, ListReader};
-use cometcroft_sidecar::exchange::{Lack, Stage, outcome, without_answer};
+use cometcroft_sidecar::exchange::{NoResponse, Stage, outcome_without_response, response_outcome};
 use cometcroft_sidecar::figures::Figures;
 use cometcroft_sidecar::frontend::time_left;
-use cometcroft_sidecar::http::client::Exchange;
+use cometcroft_sidecar::http::client::ResponseReader;
 use cometcroft_sidecar::lifecycle::Machine;
+use cometcroft_sidecar::pool::ConnectionPool;
 use cometcroft_sidecar::probe::report;
 use cometcroft_sidecar::retune::Control;
-use cometcroft_sidecar::upload::{Budget, GATHERED, Upload};
+use cometcroft_sidecar::upload::{BodyMemory, MAX_BUFFERED, Upload};
 use proptest::prelude::*;
 use serde_json::json;
 use std::time::Duration;
@@ -26,10 +26,10 @@
 #[test]
 fn only_a_marked_503_or_504_has_never_run() {
     let ends = |status: u16, extra: &str| {
-        let mut exchange = Exchange::new(100);
+        let mut exchange = ResponseReader::new(100);
         let text = format!("HTTP/1.1 {status} x\r\n{extra}Content-Length: 0\r\n\r\n");
         exchange.buffer().extend_from_slice(text.as_bytes());
-        outcome(&exchange.step(false).expect("well formed").expect("whole"))
+        response_outcome(&exchange.step(false).expect("well formed").expect("whole"))
     };
     assert_eq!(ends(200, ""), Outcome::Ok);
     assert_eq!(ends(503, "X-Rejected: 1\r\n"), Outcome::Rejected);
@@ -37,11 +37,13 @@
     for (status, extra) in [(503, ""), (504, "X-Rejected: 0\r\n"), (500, "X-Rejected: 1\r\n"), (204, "")] {
         assert_eq!(ends(status, extra), Outcome::Error, "{status}");
     }
-    for (lack, written) in
-        [(Lack::Late, Outcome::Timeout), (Lack::Broken, Outcome::Reset), (Lack::Spoilt, Outcome::Error)]
-    {
-        assert!(without_answer(Stage::Unwritten, lack).never_ran());
-        assert_eq!(without_answer(Stage::Written, lack), written);
+    for (lack, written) in [
+        (NoResponse::TimedOut, Outcome::Timeout),
+        (NoResponse::ConnectionLost, Outcome::Reset),
+        (NoResponse::InvalidResponse, Outcome::Error),
+    ] {
+        assert!(outcome_without_response(Stage::Unwritten, lack).never_ran());
+        assert_eq!(outcome_without_response(Stage::Written, lack), written);
     }
 }
 
@@ -64,7 +66,7 @@
         format!("{head}Transfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n"),
         format!("{head}{}", "X-Pad: p\r\n".repeat(2000)),
     ] {
-        let mut exchange = Exchange::delimited(100);
+        let mut exchange = ResponseReader::delimited(100);
         exchange.buffer().extend_from_slice(bad.as_bytes());
         assert!(exchange.step(false).is_err(), "{bad}");
         assert!(!exchange.reusable());
@@ -78,7 +80,7 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (at, to) = (listener.local_addr().expect("an address"), EndpointId(0));
         let (counters, second) = (std::rc::Rc::new(Counters::default()), Duration::from_secs(1));
-        let pool = Pool::new(Tokio, 9, [5 * second, second], counters.clone(), None);
+        let pool = ConnectionPool::new(Tokio, 9, [5 * second, second], counters.clone(), None);
         let get = || pool.get(to, at, Tokio.now() + second);
         pool.put(to, get().await.expect("it listens"));
         pool.put(to, get().await.expect("it listens"));
@@ -447,26 +449,30 @@
 #[test]
 fn around_a_change_both_forms_are_taken_under_the_stricter_effect() {
     let keyed = Effect::Keyed { scope: DedupScope::All, window: Duration::from_secs(5) };
-    let effects = [(Effect::Safe, Form::Plain), (keyed, Form::Keyed), (Effect::Unsafe, Form::Unkeyed)];
+    let effects = [
+        (Effect::Safe, RequestForm::Plain),
+        (keyed, RequestForm::Keyed),
+        (Effect::Unsafe, RequestForm::Unkeyed),
+    ];
     let class = |effect| RequestClass { effect, ..Settings::example().classes[0].clone() };
     let (names, now) = (["c".to_owned()], Tokio.now());
     for (old, old_form) in effects {
         for (new, new_form) in effects.into_iter().filter(|(new, _)| *new != old) {
-            let mut register = Register::new(&names, &[class(old)]);
+            let mut register = ClassRegistry::new(&names, &[class(old)]);
             assert_eq!(register.find(b"c", new_form, now), None);
-            let from = register.take(&names, &[class(new)], now);
+            let from = register.apply_settings(&names, &[class(new)], now);
             assert!(from.iter().all(|from| *from == Some(ClassId(0))), "what was learned goes on");
-            for (form, at) in [(old_form, now), (new_form, now), (new_form, now + AROUND)] {
+            for (form, at) in [(old_form, now), (new_form, now), (new_form, now + CHANGE_OVERLAP)] {
                 let found = register.find(b"c", form, at).expect("one of the two");
                 let effect = register.classes()[found.0].effect;
-                let keeps = effect == Effect::Unsafe || effect == keyed && form == Form::Keyed;
+                let keeps = effect == Effect::Unsafe || effect == keyed && form == RequestForm::Keyed;
                 assert!(
                     keeps || at > now || (old, new) == (Effect::Safe, Effect::Safe),
                     "{old:?} {new:?} {form:?}"
                 );
                 assert!(at == now || effect == new, "then the new one alone");
             }
-            assert_eq!(register.find(b"c", old_form, now + AROUND), None);
+            assert_eq!(register.find(b"c", old_form, now + CHANGE_OVERLAP), None);
         }
     }
 }
@@ -485,13 +491,13 @@
             ..Settings::example().classes[0].clone()
         };
         let names: Vec<_> = ["a", "b"].map(str::to_owned).into();
-        let mut register = Register::new(&names, &[class(0), class(1)]);
+        let mut register = ClassRegistry::new(&names, &[class(0), class(1)]);
         let (mut now, mut held) = (Tokio.now(), std::collections::VecDeque::new());
         for (what, one, two, later) in steps {
             now += Duration::from_millis(later);
             match what {
                 0 => {
-                    let from = register.take(&names[..1 + usize::from(two % 2)], &[class(one), class(two)], now);
+                    let from = register.apply_settings(&names[..1 + usize::from(two % 2)], &[class(one), class(two)], now);
                     prop_assert_eq!(from.len(), register.classes().len());
                 }
                 1 if !held.is_empty() => {
@@ -499,7 +505,7 @@
                     register.release(id);
                 }
                 _ => {
-                    let form = [Form::Plain, Form::Keyed, Form::Unkeyed][usize::from(one)];
+                    let form = [RequestForm::Plain, RequestForm::Keyed, RequestForm::Unkeyed][usize::from(one)];
                     if let Some(id) = register.find([&b"a"[..], b"b"][usize::from(two % 2)], form, now) {
                         register.hold(id);
                         held.push_back((id, register.classes()[id.0].clone()));
@@ -522,7 +528,7 @@
         steps in proptest::collection::vec((0..4u8, 0..6usize, 1..100_000usize), 1..200),
     ) {
         const MOST: usize = 3 << 20;
-        let budget = Budget::new(MOST);
+        let budget = BodyMemory::new(MOST);
         let mut uploads: Vec<Upload> = Vec::new();
         for (what, which, bytes) in steps {
             let at = which % uploads.len().max(1);
@@ -533,17 +539,17 @@
                     if which % 2 == 0 {
                         uploads[at].finish();
                     }
-                    uploads[at].begin();
+                    uploads[at].start_sending();
                 }
-                _ if uploads.get(at).is_some_and(|up| up.gathering() && up.gathers()) => {
+                _ if uploads.get(at).is_some_and(|up| up.is_buffering() && up.reserve_buffer()) => {
                     uploads[at].push(vec![0; bytes.min(32 * 1024)].into());
                 }
                 _ => {}
             }
-            prop_assert!(budget.taken() <= MOST && budget.taken() <= uploads.len() * (GATHERED + 64 * 1024));
+            prop_assert!(budget.reserved() <= MOST && budget.reserved() <= uploads.len() * (MAX_BUFFERED + 64 * 1024));
         }
         uploads.clear();
-        prop_assert_eq!(budget.taken(), 0);
+        prop_assert_eq!(budget.reserved(), 0);
     }
 }
 
@@ -562,21 +568,27 @@
 
 #[test]
 fn what_the_head_said_of_a_large_body_stands_and_small_pieces_have_their_price() {
-    let budget = Budget::new(8 << 20);
+    let budget = BodyMemory::new(8 << 20);
     let (open, whole) = (Upload::new(budget.clone(), None), Upload::new(budget.clone(), None));
     whole.push(Bytes::from_static(b"abc"));
     whole.finish();
     for upload in [&open, &whole] {
-        upload.begin();
+        upload.start_sending();
     }
-    assert_eq!((open.framing(), whole.framing()), (None, Some(3)));
+    assert_eq!((open.declared_length(), whole.declared_length()), (None, Some(3)));
     open.push(Bytes::from_static(b"abc"));
     open.finish();
-    assert_eq!(open.framing(), None, "in chunks, as its head said, though its length is known by now");
+    assert_eq!(
+        open.declared_length(),
+        None,
+        "in chunks, as its head said, though its length is known by now"
+    );
     let tiny = Upload::new(budget, None);
-    let pieces =
-        (0..GATHERED).take_while(|_| tiny.gathers()).map(|_| tiny.push(Bytes::from_static(b"x"))).count();
-    assert!(pieces <= GATHERED / 64, "{pieces} single bytes are held");
+    let pieces = (0..MAX_BUFFERED)
+        .take_while(|_| tiny.reserve_buffer())
+        .map(|_| tiny.push(Bytes::from_static(b"x")))
+        .count();
+    assert!(pieces <= MAX_BUFFERED / 64, "{pieces} single bytes are held");
 }
 
 #[test]
--- a/crates/sidecar/tests/sessions.rs
+++ b/crates/sidecar/tests/requests.rs
@@ -3,7 +3,9 @@
 
 use cometcroft::*;
 use cometcroft_sidecar::counters::Counters;
-use cometcroft_sidecar::session::{Command, Ended, Opening, SessionId, Table, Verdict};
+use cometcroft_sidecar::requests::{
+    AttemptResult, Command, FinalResponse, NewRequest, RequestNumber, RequestTable,
+};
 use proptest::prelude::*;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -79,15 +81,15 @@
 
 fn check(
     commands: Vec<Command<u8, u8>>,
-    models: &mut HashMap<SessionId, Model>,
+    models: &mut HashMap<RequestNumber, Model>,
     timers: &mut Vec<Timer>,
     drained: Option<u32>,
     now: Duration,
 ) -> Result<(), TestCaseError> {
     for command in commands {
         match command {
-            Command::Dispatch { session, attempt, endpoint, payload, latest, .. } => {
-                let model = models.entry(session).or_default();
+            Command::StartAttempt { request, attempt, endpoint, payload, write_by: latest, .. } => {
+                let model = models.entry(request).or_default();
                 prop_assert_eq!(model.over, 0, "nothing is dispatched for what is over");
                 prop_assert_eq!(model.out, None, "never two at once");
                 prop_assert_eq!(attempt, model.dispatched);
@@ -101,23 +103,23 @@
                 }
                 (model.out, model.dispatched) = (Some(attempt), attempt + 1);
             }
-            Command::Abandon(session) => {
-                let model = models.entry(session).or_default();
+            Command::CancelAttempt(request) => {
+                let model = models.entry(request).or_default();
                 prop_assert!(model.out.take().is_some());
                 model.may_have_run = true;
             }
-            Command::Answer(session, verdict) => {
-                let model = models.entry(session).or_default();
+            Command::Respond(request, verdict) => {
+                let model = models.entry(request).or_default();
                 model.over += 1;
                 prop_assert_eq!(model.over, 1, "one final answer");
-                let denied = matches!(verdict, Verdict::Denied { .. });
+                let denied = matches!(verdict, FinalResponse::Rejected { .. });
                 prop_assert!(!denied || model.class != 1 || !model.may_have_run, "a denial is harmless");
             }
-            Command::Forget(session) => {
-                let model = models.entry(session).or_default();
+            Command::Remove(request) => {
+                let model = models.entry(request).or_default();
                 prop_assert!(model.over == 1 && model.out.is_none());
             }
-            Command::Timer(_, timer) => timers.push(timer),
+            Command::SetTimer(_, timer) => timers.push(timer),
             _ => {}
         }
     }
@@ -130,14 +132,14 @@
     #[test]
     fn every_session_gets_one_answer_and_the_rules_hold(steps in prop::collection::vec(step(), 1..120)) {
         let counters = Rc::new(Counters::default());
-        let mut table: Table<u8, u8> = Table::new(settings(), 7, counters.clone()).expect("settings");
-        let (mut models, mut timers): (HashMap<SessionId, Model>, _) = (HashMap::new(), Vec::new());
+        let mut table: RequestTable<u8, u8> = RequestTable::new(settings(), 7, counters.clone()).expect("settings");
+        let (mut models, mut timers): (HashMap<RequestNumber, Model>, _) = (HashMap::new(), Vec::new());
         let (mut now, mut drained) = (Duration::from_secs(3600), None);
-        check(table.tell(now, Event::Start), &mut models, &mut timers, drained, now)?;
-        check(table.tell(now, list(None)), &mut models, &mut timers, drained, now)?;
+        check(table.handle_event(now, Event::Start), &mut models, &mut timers, drained, now)?;
+        check(table.handle_event(now, list(None)), &mut models, &mut timers, drained, now)?;
         for (step, wait) in steps {
             now += Duration::from_millis(wait);
-            let mut open: Vec<SessionId> =
+            let mut open: Vec<RequestNumber> =
                 models.iter().filter(|(_, m)| m.over == 0).map(|(&id, _)| id).collect();
             open.sort_unstable();
             let commands = match step {
@@ -146,8 +148,8 @@
                     models.insert(id, Model { class, ..Model::default() });
                     let payload = class as u8;
                     let opening =
-                        Opening { class: ClassId(class), tenant: None, left, repeat: false, payload };
-                    let (given, commands) = table.open(now, opening);
+                        NewRequest { class: ClassId(class), tenant: None, time_left: left, client_retry: false, payload };
+                    let (given, commands) = table.add_request(now, opening);
                     prop_assert_eq!(given, id);
                     commands
                 }
@@ -157,30 +159,30 @@
                     let Some(attempt) = model.out.take() else { continue };
                     let outcome = OUTCOMES[outcome];
                     model.may_have_run |= !outcome.never_ran();
-                    table.ended(now, id, attempt, Ended { outcome, report: None, answer: Some(1) })
+                    table.attempt_ended(now, id, attempt, AttemptResult { outcome, report: None, response: Some(1) })
                 }
                 Do::Withdraw(which) => {
                     let Some(&id) = open.get(which % open.len().max(1)) else { continue };
                     models.entry(id).and_modify(|m| (m.over, m.left) = (1, true));
-                    table.withdraw(now, id)
+                    table.client_disconnected(now, id)
                 }
                 Do::Overdue(which) => {
                     let Some(&id) = open.get(which % open.len().max(1)) else { continue };
-                    table.overdue(now, id)
+                    table.deadline_passed(now, id)
                 }
                 Do::Timer(which) if timers.is_empty() || which == 0 => continue,
                 Do::Timer(which) => {
                     let timer = timers.swap_remove(which % timers.len());
-                    table.tell(now, Event::Timer(timer))
+                    table.handle_event(now, Event::Timer(timer))
                 }
                 Do::Drain(which) => {
                     drained = Some(which);
-                    table.tell(now, list(drained))
+                    table.handle_event(now, list(drained))
                 }
             };
             check(commands, &mut models, &mut timers, drained, now)?;
             let owed = models.values().filter(|m| m.over == 0).count();
-            prop_assert_eq!(table.owed(), owed);
+            prop_assert_eq!(table.unanswered_count(), owed);
             // Whoever is owed an answer has a dispatch out: the module holds nothing back.
             prop_assert!(models.values().all(|m| m.over > 0 || m.out.is_some()));
         }
