--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -80,7 +80,7 @@
     fn probe(&self, to: EndpointId) -> LocalBoxFuture<ProbeResult> {
         let transport = self.clone();
         Box::pin(async move {
-            if transport.fleet.as_ref().is_some_and(|fleet| !fleet.probes()) {
+            if transport.fleet.as_ref().is_some_and(|fleet| !fleet.allow_probe()) {
                 count(&transport.exchanger.counters.probes_barred);
                 return (Outcome::NotSent, None);
             }
@@ -122,7 +122,7 @@
         }
         let first = payload.attempts_started.replace(payload.attempts_started.get() + 1) == 0;
         if let Some(fleet) = &self.fleet
-            && !fleet.attempts(&payload.request, first, payload.last_failure.get())
+            && !fleet.allow_attempt(&payload.request, first, payload.last_failure.get())
         {
             count(&self.exchanger.counters.retries_barred);
             return AttemptResult { outcome: Outcome::NotSent, report: None, response: None };
--- a/crates/sidecar/src/discovery/mod.rs
+++ b/crates/sidecar/src/discovery/mod.rs
@@ -219,7 +219,7 @@
         let kept = self.idle.take();
         let task = self.platform.spawn(async move {
             if let Some(fleet) = &fleet {
-                fleet.calls().await;
+                fleet.wait_to_call_discovery().await;
             }
             let ended =
                 call::make(&platform, kept, question, endpoints.discovery_connections(), &shared, &mut bars)
--- a/crates/sidecar/src/frontend/request.rs
+++ b/crates/sidecar/src/frontend/request.rs
@@ -2,6 +2,7 @@
 
 use super::{Frontend, HttpTransport, StreamOf};
 use crate::attempt::ForwardedRequest;
+use crate::budget_driver::ConcurrencyGuard as Spent;
 use crate::classes::RequestForm;
 use crate::counters::count;
 use crate::exchange::EndpointResponse;
@@ -9,7 +10,6 @@
 use crate::http::server::{CALL_ID, Connection, Request, Status};
 use crate::http::{BodyPiece, ParseError};
 use crate::lifecycle::Machine;
-use crate::purse::Held as Spent;
 use crate::requests::{FinalResponse, NewRequest};
 use crate::upload::{ReadTimeout, Upload};
 use bytes::Bytes;
