--- a/crates/emulator/src/emulator/faults.rs
+++ b/crates/emulator/src/emulator/faults.rs
@@ -4,7 +4,7 @@
 use crate::day::Fault;
 use crate::kernel::{MS, SEC};
 use crate::scenario::FaultKind;
-use cometcroft_sidecar::lifecycle::Machine;
+use cometcroft_sidecar::lifecycle::LifecycleState;
 use serde_json::{Value, json};
 
 impl Emulator {
@@ -93,7 +93,7 @@
             (SidecarRestart, _, Some(i)) => {
                 if let Some(process) = &mut self.sidecars[i].process {
                     process.term = Some(now);
-                    process.life.begin();
+                    process.life.begin_shutdown();
                     let longest = self.day.classes.iter().map(|c| c.deadline).max().unwrap_or(0).min(3 * SEC);
                     let life = self.sidecars[i].life;
                     self.kernel.world_at(now + longest + 700 * MS, Event::Kill(i, life));
@@ -103,11 +103,11 @@
             (SidecarDrain, _, Some(i)) => {
                 if let Some(process) = &self.sidecars[i].process {
                     if begins {
-                        process.life.tell(Machine::drain);
+                        process.life.update(LifecycleState::start_drain);
                         // The front asks every 0.1 s, and goes on with what it has begun for 0.2 s.
                         self.kernel.world_at(now + 300 * MS, Event::Believe(i, false));
                     } else {
-                        process.life.tell(|machine, _| machine.undrain());
+                        process.life.update(|state, _| state.stop_drain());
                         self.kernel.world_at(now + 100 * MS, Event::Front(i));
                     }
                 }
--- a/crates/emulator/src/emulator/mod.rs
+++ b/crates/emulator/src/emulator/mod.rs
@@ -23,8 +23,8 @@
 use crate::wire::{Message, Reader};
 use bytes::Bytes;
 use cometcroft_sidecar::counters::Counters;
-use cometcroft_sidecar::lifecycle::Life;
-use cometcroft_sidecar::retune::Control;
+use cometcroft_sidecar::lifecycle::Lifecycle;
+use cometcroft_sidecar::reload::ConfigReloader;
 use hdrhistogram::Histogram;
 use rustc_hash::FxHashMap;
 use serde::Serialize;
@@ -138,8 +138,8 @@
 struct Process {
     pid: Pid,
     platform: Sim,
-    control: Rc<Control>,
-    life: Rc<Life<Sim>>,
+    control: Rc<ConfigReloader>,
+    life: Rc<Lifecycle<Sim>>,
     counters: Rc<Counters>,
     term: Option<Nanos>,
 }
--- a/crates/emulator/src/emulator/sidecars.rs
+++ b/crates/emulator/src/emulator/sidecars.rs
@@ -5,12 +5,12 @@
 use crate::kernel::{MS, Nanos, SEC};
 use crate::sabotage::{Defect, Saboteur};
 use cometcroft_membership::{Config as Member, Name};
-use cometcroft_sidecar::Parts;
+use cometcroft_sidecar::Resources;
 use cometcroft_sidecar::config::Config;
 use cometcroft_sidecar::counters::Counters;
 use cometcroft_sidecar::fleet::FleetParts;
-use cometcroft_sidecar::lifecycle::Life;
-use cometcroft_sidecar::retune::Control;
+use cometcroft_sidecar::lifecycle::Lifecycle;
+use cometcroft_sidecar::reload::ConfigReloader;
 use serde_json::json;
 use std::net::{IpAddr, Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
@@ -87,10 +87,10 @@
             _ => {}
         }
         let listener = platform.listen(s.address);
-        let control = Control::new(&config);
-        let life = Rc::new(Life::new(platform.clone(), config.longest_deadline(), false));
+        let control = ConfigReloader::new(&config);
+        let life = Rc::new(Lifecycle::new(platform.clone(), config.max_deadline(), false));
         let counters = Rc::new(Counters::default());
-        let known = config.known.to_string();
+        let known = config.known_endpoints.to_string();
         let (kernel, turn, own) = (self.kernel.clone(), s.life, platform.clone());
         let fleet = (self.members && s.tier == 0).then(|| {
             let at = meets(s.rank);
@@ -107,11 +107,11 @@
                 budget: None,
             }
         });
-        let parts = Parts {
+        let parts = Resources {
             listener,
             ops: None,
-            control: control.clone(),
-            life: life.clone(),
+            reloader: control.clone(),
+            lifecycle: life.clone(),
             counters: counters.clone(),
             fleet,
         };
@@ -121,10 +121,10 @@
                     let _ = cometcroft_sidecar::run(own, config, parts).await;
                 }
                 Some(Defect::LosesOnRestart) => {
-                    let told = parts.life.clone();
+                    let told = parts.lifecycle.clone();
                     tokio::select! {
                         biased;
-                        () = told.begun() => {}
+                        () = told.shutdown_begun() => {}
                         _ = cometcroft_sidecar::run(own, config, parts) => {}
                     }
                 }
--- a/crates/platformfaults/src/scenario.rs
+++ b/crates/platformfaults/src/scenario.rs
@@ -11,9 +11,9 @@
 use cometcroft_platform::{Platform, Task, Tokio};
 use cometcroft_sidecar::config::{Config, ConfigError};
 use cometcroft_sidecar::counters::Counters;
-use cometcroft_sidecar::lifecycle::Life;
-use cometcroft_sidecar::retune::Control;
-use cometcroft_sidecar::{Parts, run_with};
+use cometcroft_sidecar::lifecycle::Lifecycle;
+use cometcroft_sidecar::reload::ConfigReloader;
+use cometcroft_sidecar::{Resources, run_with};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -250,18 +250,18 @@
     let config = configuration(listen, places.discovery, &places.list, scenario.plan.seed);
     let config = config.map_err(io::Error::other)?;
     let platform = Faulty::new(Tokio, scenario.plan.clone());
-    let (counters, control) = (Rc::new(Counters::default()), Control::new(&config));
-    let life = Rc::new(Life::new(platform.clone(), config.longest_deadline(), false));
+    let (counters, control) = (Rc::new(Counters::default()), ConfigReloader::new(&config));
+    let life = Rc::new(Lifecycle::new(platform.clone(), config.max_deadline(), false));
     let fleet = match scenario.plan.datagrams.rate > 0.0 {
         true => Some(fleet::form(&platform).await?),
         false => None,
     };
     let (fleet, companions) = fleet.unzip();
-    let parts = Parts {
+    let parts = Resources {
         listener: platform.listener(listener),
         ops: Some(platform.listener(ops)),
-        control,
-        life: life.clone(),
+        reloader: control,
+        lifecycle: life.clone(),
         counters: counters.clone(),
         fleet,
     };
@@ -282,7 +282,7 @@
             }
             Word::Leave => {
                 left = Some(Tokio.now());
-                life.begin();
+                life.begin_shutdown();
             }
             Word::Done(seen) => {
                 let World { sent, arrivals, deliveries, discovery_calls, stalls } = *seen;
--- a/crates/platformfaults/tests/way_out.rs
+++ b/crates/platformfaults/tests/way_out.rs
@@ -6,9 +6,9 @@
 use cometcroft_platformfaults::scenario::configuration;
 use cometcroft_platformfaults::{Faulty, Plan};
 use cometcroft_sidecar::counters::Counters;
-use cometcroft_sidecar::lifecycle::Life;
-use cometcroft_sidecar::retune::Control;
-use cometcroft_sidecar::{Parts, run};
+use cometcroft_sidecar::lifecycle::Lifecycle;
+use cometcroft_sidecar::reload::ConfigReloader;
+use cometcroft_sidecar::{Resources, run};
 use serde_json::json;
 use std::rc::Rc;
 use std::sync::mpsc;
@@ -36,12 +36,12 @@
     let known = json!({"index": 1, "snapshot": true, "endpoints": [row]});
     let config = configuration(listen, discovery.local_addr().expect("bound"), &known, seed);
     let config = config.expect("a configuration");
-    let life = Rc::new(Life::new(platform.clone(), config.longest_deadline(), false));
-    let parts = Parts {
+    let life = Rc::new(Lifecycle::new(platform.clone(), config.max_deadline(), false));
+    let parts = Resources {
         listener: platform.listener(listener),
         ops: None,
-        control: Control::new(&config),
-        life: life.clone(),
+        reloader: ConfigReloader::new(&config),
+        lifecycle: life.clone(),
         counters: Rc::new(Counters::default()),
         fleet: None,
     };
@@ -49,7 +49,7 @@
     let mut client = TcpStream::connect(listen).await.expect("it listens");
     client.write_all(b"GET /up HTTP/1.1\r\n\r\n").await.expect("written");
     assert!(client.read(&mut [0; 4096]).await.expect("an answer") > 0);
-    life.begin();
+    life.begin_shutdown();
     tokio::time::sleep(LINGER - Duration::from_millis(20)).await;
     platform.activate(true);
     client.write_all(b"GET /up HTTP/1.1\r\n\r\n").await.expect("written");
--- a/crates/sidecar/src/backend.rs
+++ b/crates/sidecar/src/backend.rs
@@ -3,7 +3,7 @@
 use crate::counters::{Counters, count};
 use crate::dial::{self, AttemptDelay};
 use crate::fleet::Fleet;
-use crate::sockets::send_promptly;
+use crate::sockets::enable_nodelay;
 use cometcroft::EndpointId;
 use cometcroft_platform::{Platform, Stream};
 use std::cell::{Cell, RefCell};
@@ -127,7 +127,7 @@
         let began = self.platform.now();
         let stream = self.platform.connect(address).await?;
         self.attempt_delay.learn(self.platform.since(began));
-        send_promptly(&stream);
+        enable_nodelay(&stream);
         count(&self.counters.backend_connections);
         Ok(Lease { stream, address, _place: place })
     }
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -46,25 +46,25 @@
     /// Where operators call, if anywhere.
     pub ops: Option<SocketAddr>,
     /// The number of the listening socket, if it is inherited.
-    pub socket: Option<i32>,
+    pub inherited_socket: Option<i32>,
     /// Where discovery answers.
     pub discovery: SocketAddr,
     /// For random numbers.
     pub seed: u64,
     /// File descriptors that it may hold.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// Bytes of memory that it may use.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// The list of backend servers as last held, in discovery's form.
-    pub known: Value,
+    pub known_endpoints: Value,
     /// What the module is told.
     pub settings: Settings,
     /// The values that load reports hold.
-    pub fields: Vec<Field>,
+    pub load_report_fields: Vec<Field>,
     /// What the sockets need of the settings.
-    pub net: Sockets,
+    pub network: Sockets,
     /// The whole file, without the list.
-    pub text: Rc<Value>,
+    pub document: Rc<Value>,
 }
 
 impl Config {
@@ -74,7 +74,7 @@
     }
 
     /// The longest time that a client waits.
-    pub fn longest_deadline(&self) -> Duration {
+    pub fn max_deadline(&self) -> Duration {
         self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
@@ -133,16 +133,16 @@
             name,
             listen,
             ops,
-            socket: socket.map_err(|e| bad("LB_SOCKET_FD", e))?,
+            inherited_socket: socket.map_err(|e| bad("LB_SOCKET_FD", e))?,
             discovery,
             seed,
-            sockets: sockets.min(1 << 20) as usize,
-            memory: memory.min(1 << 20) as usize * 1_000_000,
-            known,
+            max_sockets: sockets.min(1 << 20) as usize,
+            memory_bytes: memory.min(1 << 20) as usize * 1_000_000,
+            known_endpoints: known,
             settings: module,
-            fields,
-            net,
-            text: Rc::new(value),
+            load_report_fields: fields,
+            network: net,
+            document: Rc::new(value),
         })
     }
 }
--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -1,6 +1,6 @@
 //! What a sidecar takes in, sends and answers, counted; and invariants, counted in release builds.
 
-use crate::figures::Figures;
+use crate::request_stats::RequestStats;
 use serde_json::json;
 use std::cell::Cell;
 use std::time::Duration;
@@ -12,7 +12,7 @@
         pub struct Counters {
             $($(#[$doc])* pub $name: Cell<u64>,)*
             /// What the operators' figures count.
-            pub figures: Figures,
+            pub request_stats: RequestStats,
         }
 
         impl Counters {
@@ -20,7 +20,7 @@
             pub fn json(&self) -> String {
                 let pairs = [$((stringify!($name), self.$name.get()),)*];
                 let pairs = pairs.map(|(name, count)| format!("\"{name}\":{count}"));
-                let (operations, open) = (json!(self.figures.tallies()), self.figures.open());
+                let (operations, open) = (json!(self.request_stats.by_class()), self.request_stats.open_requests());
                 format!("{{{},\"open_requests\":{open},\"operations\":{operations}}}", pairs.join(","))
             }
         }
@@ -124,7 +124,7 @@
 
 impl Counters {
     /// A notice that bars a backend server took so long from its arrival until it was in force.
-    pub fn bar_took(&self, time: Duration) {
+    pub fn record_exclusion_delay(&self, time: Duration) {
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         self.bar_delay_longest_us.set(self.bar_delay_longest_us.get().max(micros));
     }
--- a/crates/sidecar/src/directory.rs
+++ b/crates/sidecar/src/directory.rs
@@ -287,7 +287,7 @@
             // Danger: the module takes another start for another process, so one that is told again keeps its time.
             let same = entries.get(&id).filter(|entry| entry.since_ms == record.since_ms);
             let started =
-                same.map_or_else(|| self.start_clock.started(record.since_ms), |entry| entry.told.started);
+                same.map_or_else(|| self.start_clock.start_time(record.since_ms), |entry| entry.told.started);
             let mut member = self.member(id, record, started);
             if barred && member.state == EndpointState::Ready {
                 member.state = EndpointState::Draining;
--- a/crates/sidecar/src/discovery/arrivals.rs
+++ b/crates/sidecar/src/discovery/arrivals.rs
@@ -121,7 +121,7 @@
         let now = self.platform.now();
         if !barred.is_empty() {
             self.barred = true;
-            self.counters.bar_took(now.saturating_duration_since(at));
+            self.counters.record_exclusion_delay(now.saturating_duration_since(at));
             self.unreported.extend(barred);
         }
         if is_due(self.bars_reported, now, TELL_EVERY) {
--- a/crates/sidecar/src/discovery/call.rs
+++ b/crates/sidecar/src/discovery/call.rs
@@ -6,7 +6,7 @@
 use crate::http::client::{self, Exchange};
 use crate::http::{Fault, Piece};
 use crate::notices::Notices;
-use crate::sockets::send_promptly;
+use crate::sockets::enable_nodelay;
 use bytes::{Bytes, BytesMut};
 use cometcroft_platform::{Elapsed, Platform, Stream};
 use std::cell::RefCell;
@@ -159,7 +159,7 @@
         Some(stream) => stream,
         None => platform.timeout(CONNECT, platform.connect(question.address)).await??,
     };
-    send_promptly(&stream);
+    enable_nodelay(&stream);
     stream.write_all(&client::get(&question.target, "discovery")).await?;
     Ok(stream)
 }
--- a/crates/sidecar/src/discovery/mod.rs
+++ b/crates/sidecar/src/discovery/mod.rs
@@ -13,7 +13,7 @@
 use crate::directory::{Directory, News, Taken};
 use crate::endpoint_list::{EndpointList, ListError};
 use crate::fleet::Fleet;
-use crate::lifecycle::Life;
+use crate::lifecycle::Lifecycle;
 use crate::session::{Carrier, Host};
 use abandonment::{Abandonment, Standing};
 use arrivals::{Bars, Report};
@@ -80,7 +80,7 @@
     host: Rc<Host<C>>,
     directory: Rc<Directory>,
     source: Rc<Source>,
-    life: Rc<Life<C::Platform>>,
+    lifecycle: Rc<Lifecycle<C::Platform>>,
     index: Option<i64>,
     seed: u64,
     fleet: Option<Rc<Fleet<C::Platform>>>,
@@ -94,7 +94,7 @@
         host,
         directory,
         source,
-        life,
+        lifecycle,
         fleet,
         schedule: Schedule::new(seed),
         index,
@@ -141,7 +141,7 @@
     host: Rc<Host<C>>,
     directory: Rc<Directory>,
     source: Rc<Source>,
-    life: Rc<Life<C::Platform>>,
+    lifecycle: Rc<Lifecycle<C::Platform>>,
     fleet: Option<Rc<Fleet<C::Platform>>>,
     schedule: Schedule,
     /// The version that the next call asks for changes from; the whole list is asked for without one.
@@ -294,7 +294,7 @@
         }
         freshness.call_ended();
         let holds = freshness.list_evidence(now).is_ok();
-        self.life.tell(|machine, _| machine.listed(!self.directory.is_empty(), holds));
+        self.lifecycle.update(|state, _| state.record_list(!self.directory.is_empty(), holds));
         self.tell_trust();
         self.log_change_of_state(failure);
         if let Some(failure) = failure {
--- a/crates/sidecar/src/dispatch.rs
+++ b/crates/sidecar/src/dispatch.rs
@@ -134,7 +134,7 @@
         };
         let written = || {
             stage.set(Stage::Written);
-            self.exchanger.counters.figures.relay(payload.class);
+            self.exchanger.counters.request_stats.record_relayed(payload.class);
         };
         let exchange =
             self.exchanger.run(to, message, payload.upload.as_ref(), Ends { ends, latest }, written);
--- a/crates/sidecar/src/door.rs
+++ b/crates/sidecar/src/door.rs
@@ -3,13 +3,13 @@
 
 use crate::counters::{Counters, count};
 use crate::directory::Directory;
-use crate::figures::Report;
 use crate::fleet::Fleet;
 use crate::frontend::{admit, bid_farewell, refuse};
 use crate::http::server::{Connection, Request, Status, Step};
-use crate::lifecycle::{Life, Machine};
+use crate::lifecycle::{Lifecycle, LifecycleState};
+use crate::request_stats::StatsReport;
 use crate::session::{Carrier, Host};
-use crate::sockets::send_promptly;
+use crate::sockets::enable_nodelay;
 use crate::words;
 use cometcroft_platform::Platform;
 use std::cell::{Cell, RefCell};
@@ -64,7 +64,7 @@
 pub struct Door<C: Carrier> {
     host: Rc<Host<C>>,
     directory: Rc<Directory>,
-    life: Rc<Life<C::Platform>>,
+    lifecycle: Rc<Lifecycle<C::Platform>>,
     counters: Rc<Counters>,
     fleet: Option<Rc<Fleet<C::Platform>>>,
     /// Callers that owe a call, the longest waiting first.
@@ -82,14 +82,14 @@
     pub fn new(
         host: Rc<Host<C>>,
         directory: Rc<Directory>,
-        life: Rc<Life<C::Platform>>,
+        lifecycle: Rc<Lifecycle<C::Platform>>,
         counters: Rc<Counters>,
         (fleet, places): (Option<Rc<Fleet<C::Platform>>>, usize),
     ) -> Rc<Door<C>> {
         Rc::new(Door {
             host,
             directory,
-            life,
+            lifecycle,
             counters,
             fleet,
             most: places.clamp(1, MOST),
@@ -125,7 +125,7 @@
     /// One call.
     async fn serve(&self, mut stream: StreamOf<C>) -> io::Result<()> {
         let platform = self.host.platform();
-        send_promptly(&stream);
+        enable_nodelay(&stream);
         let turn = self.turn.replace(self.turn.get() + 1);
         let wake = Rc::new(Notify::new());
         self.waiting.borrow_mut().insert(turn, wake.clone());
@@ -187,7 +187,7 @@
     async fn call(&self, call: Call, request: &Request) -> (Status, String) {
         match call {
             Call::Readiness => {
-                let ready = self.life.ask(Machine::wanted);
+                let ready = self.lifecycle.query(LifecycleState::is_ready);
                 let status = if ready { Status::Ok } else { Status::Unavailable };
                 (status, format!("{{\"ready\":{ready}}}\n"))
             }
@@ -202,27 +202,27 @@
             Call::Plan => match self.fleet.as_ref().and_then(|fleet| fleet.accord()) {
                 Some(accord) => {
                     let path = request.path().strip_prefix(b"/ops/plan").unwrap_or_default();
-                    words::answer(accord, &self.directory, &self.life, path, request).await
+                    words::answer(accord, &self.directory, &self.lifecycle, path, request).await
                 }
                 None => (Status::NotFound, String::new()),
             },
             Call::Drain => {
-                self.life.tell(Machine::drain);
+                self.lifecycle.update(LifecycleState::start_drain);
                 (Status::Ok, "{\"draining\":true}\n".to_owned())
             }
             Call::Undrain => {
-                self.life.tell(|machine, _| machine.undrain());
+                self.lifecycle.update(|state, _| state.stop_drain());
                 (Status::Ok, "{\"draining\":false}\n".to_owned())
             }
         }
     }
 
     /// All figures, as they are now.
-    pub fn report(&self) -> Report {
-        Report {
-            operations: self.counters.figures.tallies(),
-            relayed: self.counters.figures.relayed(),
-            open_requests: self.counters.figures.open(),
+    pub fn report(&self) -> StatsReport {
+        StatsReport {
+            operations: self.counters.request_stats.by_class(),
+            relayed: self.counters.request_stats.relayed(),
+            open_requests: self.counters.request_stats.open_requests(),
             registry_entries: self.directory.len(),
             registry_age_ms: self
                 .directory
--- a/crates/sidecar/src/force.rs
+++ b/crates/sidecar/src/force.rs
@@ -6,7 +6,7 @@
 use crate::directory::Directory;
 use crate::fleet::Fleet;
 use crate::frontend::{Frontend, HttpBackend};
-use crate::lifecycle::Life;
+use crate::lifecycle::Lifecycle;
 use crate::session::Host;
 use cometcroft::{Event, ListScope, Settings};
 use cometcroft_settings::{Field, Sockets};
@@ -19,7 +19,7 @@
     pub host: Rc<Host<C>>,
     pub directory: Rc<Directory>,
     pub pool: Rc<Pool<C::Platform>>,
-    pub life: Rc<Life<C::Platform>>,
+    pub lifecycle: Rc<Lifecycle<C::Platform>>,
     pub fields: Rc<RefCell<Rc<[Field]>>>,
     pub fleet: Option<Rc<Fleet<C::Platform>>>,
     /// What the file says, but for what is the fleet's to tell; kept where there is a fleet.
@@ -29,8 +29,8 @@
 impl<C: HttpBackend> Force<C> {
     /// A new file. One step: nothing is awaited between the first and the last of these.
     pub fn file(&self, config: Config) {
-        self.life.tell(|machine, _| machine.longest(config.longest_deadline()));
-        let Config { settings, net, fields, .. } = config;
+        self.lifecycle.update(|state, _| state.set_max_deadline(config.max_deadline()));
+        let Config { settings, network: net, load_report_fields: fields, .. } = config;
         self.directory.retune(net.zones.clone());
         self.pool.retune(net.idle, net.connect_timeout);
         self.fields.replace(fields.into());
--- a/crates/sidecar/src/frontend/mod.rs
+++ b/crates/sidecar/src/frontend/mod.rs
@@ -13,9 +13,9 @@
 use crate::dispatch::Payload;
 use crate::exchange::Reply;
 use crate::fleet::Fleet;
-use crate::lifecycle::{Life, Machine};
+use crate::lifecycle::{Lifecycle, LifecycleState};
 use crate::session::{Carrier, Host};
-use crate::sockets::lacks_descriptor;
+use crate::sockets::is_out_of_descriptors;
 use crate::upload::Budget;
 use bytes::Bytes;
 use cometcroft::Settings;
@@ -49,7 +49,7 @@
     host: Rc<Host<C>>,
     classes: RefCell<Register>,
     tenants: RefCell<Vec<String>>,
-    life: Rc<Life<C::Platform>>,
+    lifecycle: Rc<Lifecycle<C::Platform>>,
     counters: Rc<Counters>,
     most: usize,
     /// So many more may be on their way out.
@@ -80,7 +80,7 @@
         host: Rc<Host<C>>,
         classes: Register,
         tenants: Vec<String>,
-        life: Rc<Life<C::Platform>>,
+        lifecycle: Rc<Lifecycle<C::Platform>>,
         counters: Rc<Counters>,
         [most, spare, memory]: [usize; 3],
         fleet: Option<Rc<Fleet<C::Platform>>>,
@@ -90,7 +90,7 @@
             host,
             classes: RefCell::new(classes),
             tenants: RefCell::new(tenants),
-            life,
+            lifecycle,
             counters,
             most,
             spare,
@@ -110,7 +110,7 @@
         let mut classes = self.classes.borrow_mut();
         let from = classes.take(names, &settings.classes, self.platform.now());
         settings.classes = classes.classes();
-        self.counters.figures.name(&classes.names());
+        self.counters.request_stats.set_class_names(&classes.names());
         self.tenants.replace(tenants);
         self.host.retune(settings, from);
     }
@@ -119,12 +119,12 @@
     pub async fn run(self: Rc<Self>, listener: ListenerOf<C>) {
         tokio::select! {
             biased;
-            () = self.life.until(Machine::accepts_until) => {}
+            () = self.lifecycle.wait_until(LifecycleState::accepts_until) => {}
             () = self.accept(&listener) => {}
         }
         // Danger: what the machine has accepted is ours, and would be reset with the listener. A listener that a
         // successor reads too stays open, and what waits there is the successor's.
-        if !self.life.ask(|machine, _| machine.shared()) {
+        if !self.lifecycle.query(|state, _| state.shares_listener()) {
             self.accept_waiting(&listener).await;
         }
         drop(listener);
@@ -134,7 +134,7 @@
     }
 
     async fn accept(self: &Rc<Self>, listener: &ListenerOf<C>) {
-        self.life.until(|machine| Some(machine.accepts_from())).await;
+        self.lifecycle.wait_until(|state| Some(state.accepts_from())).await;
         loop {
             // Danger: past the limit of descriptors nothing works any more, so a place is made or awaited
             // before the next client is let in.
@@ -160,7 +160,7 @@
                 // One that left at once, or a lack that may pass: others still wait.
                 Ok(Err(error)) => {
                     count(&self.counters.accept_failures);
-                    if lacks_descriptor(&error) {
+                    if is_out_of_descriptors(&error) {
                         self.evict();
                     }
                     self.platform.sleep(BETWEEN_ACCEPTS).await;
@@ -208,7 +208,7 @@
             Ok(stream) => return stream,
             Err(error) => {
                 count(&counters.accept_failures);
-                if lacks_descriptor(&error) {
+                if is_out_of_descriptors(&error) {
                     make_room();
                 }
                 platform.sleep(BETWEEN_ACCEPTS).await;
--- a/crates/sidecar/src/frontend/reading.rs
+++ b/crates/sidecar/src/frontend/reading.rs
@@ -4,8 +4,8 @@
 use super::{Frontend, HttpBackend, Seat, StreamOf, Waiting};
 use crate::counters::count;
 use crate::http::server::{Connection, Status, Step};
-use crate::lifecycle::Machine;
-use crate::sockets::send_promptly;
+use crate::lifecycle::LifecycleState;
+use crate::sockets::enable_nodelay;
 use crate::upload::{Patience, Upload};
 use cometcroft_platform::{Platform, Stream};
 use std::io;
@@ -23,7 +23,7 @@
 
 impl<C: HttpBackend> Frontend<C> {
     pub(super) async fn connection(&self, mut stream: StreamOf<C>, seat: &mut Seat<C>) -> io::Result<()> {
-        send_promptly(&stream);
+        enable_nodelay(&stream);
         let mut machine = Connection::default();
         let connected = self.platform.now();
         let (mut since, mut first) = (connected, true);
@@ -119,12 +119,13 @@
         self.waiting.borrow_mut().insert(turn, Waiting { wake: wake.clone(), owes });
         // Danger: a connection that was let in just now brings a request that nobody has read.
         let grace = owes.map(|since| since + GRACE);
-        let retired = |machine: &Machine| machine.idle_until(place).map(|at| grace.map_or(at, |g| at.max(g)));
+        let retired =
+            |state: &LifecycleState| state.idle_close_at(place).map(|at| grace.map_or(at, |g| at.max(g)));
         let read = tokio::select! {
             biased;
             read = stream.read_buf(machine.buffer()) => read.map(|n| if n > 0 { Read::Bytes(n) } else { Read::Ended }),
             () = wake.notified() => Ok(Read::Evicted),
-            () = self.life.until(retired), if idle => Ok(Read::Retired),
+            () = self.lifecycle.wait_until(retired), if idle => Ok(Read::Retired),
             () = self.platform.sleep_until(until), if owes.is_some() => {
                 count(&self.counters.frontend_mute);
                 Ok(Read::Late)
--- a/crates/sidecar/src/frontend/waiting.rs
+++ b/crates/sidecar/src/frontend/waiting.rs
@@ -5,11 +5,11 @@
 use crate::counters::count;
 use crate::dispatch::Payload;
 use crate::exchange::Reply;
-use crate::figures::Tally;
 use crate::http::server::{CALL_ID, Connection, Request, Status};
 use crate::http::{Fault, Piece};
-use crate::lifecycle::Machine;
+use crate::lifecycle::LifecycleState;
 use crate::purse::Held as Spent;
+use crate::request_stats::ClassStats;
 use crate::session::{Opening, Verdict};
 use crate::upload::{Patience, Upload};
 use bytes::Bytes;
@@ -38,10 +38,11 @@
         since: Instant,
     ) -> io::Result<Option<Instant>> {
         let mut early = (upload.is_none() && machine.ahead()).then_some(since);
-        let closes = || self.life.ask(Machine::closes);
+        let closes = || self.lifecycle.query(LifecycleState::closes_connections);
         if request.method == "GET" && request.path() == b"/up" {
             // Without a list there is nowhere to send a request to.
-            let status = if self.life.ask(Machine::wanted) { Status::Ok } else { Status::Unavailable };
+            let status =
+                if self.lifecycle.query(LifecycleState::is_ready) { Status::Ok } else { Status::Unavailable };
             self.reply(stream, machine, status, "", b"", closes()).await?;
             return Ok(Some(early.unwrap_or_else(|| self.platform.now())));
         }
@@ -85,14 +86,14 @@
             Err(after) => {
                 drop(id);
                 count(&self.counters.budget_refused);
-                self.counters.figures.count(class, |tally| &mut tally.throttled);
+                self.counters.request_stats.increment(class, |stats| &mut stats.throttled);
                 // Danger: what of its body is still to come would pass for the next request.
                 self.deny(stream, machine, Some(after), !whole || closes()).await?;
                 return Ok(whole.then(|| early.unwrap_or_else(|| self.platform.now())));
             }
         };
         // Taken it is when its last byte has come.
-        let mut _open = whole.then(|| self.counters.figures.begin());
+        let mut _open = whole.then(|| self.counters.request_stats.begin_request());
         let budget = payload.request.budget().unwrap_or_default();
         let mut late = None;
         let _held = Held::take(self, class);
@@ -123,7 +124,7 @@
                     () = self.platform.sleep_until(late.unwrap_or(due)), if late.is_some() => {
                         break Verdict::Overdue;
                     }
-                    () = self.life.until(Machine::answered_by) => break Verdict::Overdue,
+                    () = self.lifecycle.wait_until(LifecycleState::final_response_deadline) => break Verdict::Overdue,
                 };
                 match (fed, coming) {
                     (Fed::Gone, _) => return Ok(None),
@@ -133,7 +134,7 @@
                     }
                     // Now its time begins.
                     (Fed::Piece, Some(upload)) if upload.whole() => {
-                        _open = Some(self.counters.figures.begin());
+                        _open = Some(self.counters.request_stats.begin_request());
                         late = Some(self.platform.now() + time_left(budget, Duration::ZERO).1);
                     }
                     (Fed::Piece, Some(_)) => {}
@@ -143,14 +144,15 @@
         // What it was counted for and its id are free before its answer can be seen.
         drop(id);
         let close = closes();
-        let tally = |what: fn(&mut Tally) -> &mut u64| self.counters.figures.count(class, what);
+        let record =
+            |what: fn(&mut ClassStats) -> &mut u64| self.counters.request_stats.increment(class, what);
         match verdict {
             Verdict::Served(Reply { answer, rest }) => {
                 let kind = answer.headers.single("content-type").ok().flatten();
                 let kind = kind.and_then(|kind| std::str::from_utf8(kind).ok());
                 let extra = kind.map(|kind| format!("Content-Type: {kind}\r\n")).unwrap_or_default();
                 let Some(bulk) = answer.bulk else {
-                    tally(|tally| &mut tally.fulfilled);
+                    record(|stats| &mut stats.fulfilled);
                     self.reply(stream, machine, Status::Ok, &extra, &answer.body, close).await?;
                     return Ok(Some(early.unwrap_or_else(|| self.platform.now())));
                 };
@@ -159,15 +161,15 @@
                 // Danger: a client must be able to tell that an answer is not whole, so what breaks off ends its
                 // connection without the end mark or short of the length.
                 let whole = self.relay(stream, head, coding, answer.body, rest).await;
-                tally(if whole.is_ok() { |tally| &mut tally.fulfilled } else { |tally| &mut tally.faulted });
+                record(if whole.is_ok() { |stats| &mut stats.fulfilled } else { |stats| &mut stats.faulted });
                 whole?;
             }
             Verdict::Denied { retry_after } => {
-                tally(|tally| &mut tally.throttled);
+                record(|stats| &mut stats.throttled);
                 self.deny(stream, machine, retry_after, close).await?;
             }
             Verdict::Failed | Verdict::Overdue => {
-                tally(|tally| &mut tally.faulted);
+                record(|stats| &mut stats.faulted);
                 let late = matches!(verdict, Verdict::Overdue);
                 let status = if late { Status::GatewayTimeout } else { Status::BadGateway };
                 self.reply(stream, machine, status, "", b"", close).await?;
@@ -252,7 +254,10 @@
         let repeat = request.headers.lists("x-again", "1");
         let (left, due) = time_left(request.budget()?, self.platform.since(since));
         let now = self.platform.now();
-        let last = self.life.ask(Machine::due).map(|last| last.saturating_duration_since(now));
+        let last = self
+            .lifecycle
+            .query(LifecycleState::response_deadline)
+            .map(|last| last.saturating_duration_since(now));
         // The body of a large request has its time before that; SIGKILL waits for neither.
         let (left, due) = (left + more, due + more);
         let (left, due) = (left.min(last.unwrap_or(left)), now + due.min(last.unwrap_or(due)));
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -16,7 +16,6 @@
 pub mod door;
 pub mod endpoint_list;
 pub mod exchange;
-pub mod figures;
 pub mod fleet;
 mod force;
 pub mod freshness;
@@ -28,7 +27,8 @@
 pub mod operator;
 pub mod probe;
 pub mod purse;
-pub mod retune;
+pub mod reload;
+pub mod request_stats;
 pub mod session;
 pub mod sockets;
 pub mod start_clock;
@@ -47,8 +47,8 @@
 use crate::fleet::{Fleet, FleetParts};
 use crate::force::Force;
 use crate::frontend::{Frontend, HttpBackend};
-use crate::lifecycle::{Life, Machine};
-use crate::retune::Control;
+use crate::lifecycle::{Lifecycle, LifecycleState};
+use crate::reload::ConfigReloader;
 use crate::session::Host;
 use cometcroft::{Event, ListScope};
 use cometcroft_platform::{Platform, Task};
@@ -74,15 +74,15 @@
 }
 
 /// What a sidecar is given by whoever starts it.
-pub struct Parts<P: Platform> {
+pub struct Resources<P: Platform> {
     /// Where clients connect.
     pub listener: P::Listener,
     /// Where operators call, if anywhere.
     pub ops: Option<P::Listener>,
     /// Tells it of new configurations, and where discovery is.
-    pub control: Rc<Control>,
+    pub reloader: Rc<ConfigReloader>,
     /// Tells it when to leave.
-    pub life: Rc<Life<P>>,
+    pub lifecycle: Rc<Lifecycle<P>>,
     /// What it counts.
     pub counters: Rc<Counters>,
     /// Its part in a fleet, if it has one.
@@ -90,7 +90,7 @@
 }
 
 /// Runs a sidecar until it is told to leave and all is answered.
-pub async fn run<P: Platform>(platform: P, config: Config, parts: Parts<P>) -> io::Result<()> {
+pub async fn run<P: Platform>(platform: P, config: Config, parts: Resources<P>) -> io::Result<()> {
     run_with(platform, config, parts, |carrier| carrier).await
 }
 
@@ -98,45 +98,45 @@
 pub async fn run_with<P: Platform, C: HttpBackend<Platform = P>>(
     platform: P,
     mut config: Config,
-    parts: Parts<P>,
+    parts: Resources<P>,
     wrap: impl FnOnce(HttpCarrier<P>) -> C,
 ) -> io::Result<()> {
-    let Parts { listener, ops, control, life, counters, fleet } = parts;
+    let Resources { listener, ops, reloader, lifecycle, counters, fleet } = parts;
     // Danger: where the listener is inherited a second process may run beside this one, and both count as one.
-    let sockets = if config.socket.is_some() { config.sockets / 2 } else { config.sockets };
+    let sockets = if config.inherited_socket.is_some() { config.max_sockets / 2 } else { config.max_sockets };
     let reserve = RESERVE.min(sockets / 3);
     let connections = sockets.saturating_sub(reserve);
     let (to_clients, to_backends) = (connections * 11 / 20, connections * 9 / 20);
-    let (idle, dial) = (config.net.idle, config.net.connect_timeout);
+    let (idle, dial) = (config.network.idle, config.network.connect_timeout);
     let (instances, seed) = (config.settings.instances, config.seed);
     let member = fleet.map(|parts| Fleet::new(platform.clone(), parts, instances, seed.rotate_left(32)));
     let (fleet, meets) = member.unzip();
     let pool = Pool::new(platform.clone(), to_backends, [idle, dial], counters.clone(), fleet.clone());
-    let directory = Rc::new(Directory::new(config.net.zones.clone(), ORIGIN, platform.unix()));
+    let directory = Rc::new(Directory::new(config.network.zones.clone(), ORIGIN, platform.unix()));
     let exchanger =
         Exchanger { pool: pool.clone(), directory: directory.clone(), counters: counters.clone() };
-    let fields = Rc::new(RefCell::new(config.fields.into()));
+    let fields = Rc::new(RefCell::new(config.load_report_fields.into()));
     let carrier = wrap(HttpCarrier { exchanger, fields: fields.clone(), fleet: fleet.clone() });
-    let register = Register::new(&config.net.classes, &config.settings.classes);
-    let said = fleet.as_ref().map(|_| (config.settings.clone(), config.net.clone()));
+    let register = Register::new(&config.network.classes, &config.settings.classes);
+    let said = fleet.as_ref().map(|_| (config.settings.clone(), config.network.clone()));
     let host =
         Host::new(carrier, config.settings, seed, ORIGIN, counters.clone()).map_err(io::Error::other)?;
-    counters.figures.name(&config.net.classes);
+    counters.request_stats.set_class_names(&config.network.classes);
     host.tell(Event::Start);
-    let known = EndpointList::from_value(&std::mem::take(&mut config.known)).ok();
+    let known = EndpointList::from_value(&std::mem::take(&mut config.known_endpoints)).ok();
     let known = known.and_then(|list| directory.take(list, None).news());
     // Danger: beside a predecessor the list as last held is not good enough to serve by, and a watch would wait.
-    let index = known.as_ref().map(|known| known.index).filter(|_| config.socket.is_none());
+    let index = known.as_ref().map(|known| known.index).filter(|_| config.inherited_socket.is_none());
     if let Some(known) = known {
         host.tell(Event::EndpointList { scope: ListScope::Restored, entries: known.entries });
     }
-    life.tell(|machine, _| machine.listed(!directory.is_empty(), false));
+    lifecycle.update(|state, _| state.record_list(!directory.is_empty(), false));
     // Another stream of numbers than the module's, from the same seed.
     let watch = discovery::watch(
         host.clone(),
         directory.clone(),
-        control.source.clone(),
-        life.clone(),
+        reloader.discovery_source.clone(),
+        lifecycle.clone(),
         index,
         !seed,
         fleet.clone(),
@@ -151,9 +151,9 @@
     });
     let members = fleet.as_ref().zip(meets).map(|(fleet, listener)| {
         let task = platform.spawn(fleet.clone().run(listener));
-        let (leaver, told) = (fleet.clone(), life.clone());
+        let (leaver, told) = (fleet.clone(), lifecycle.clone());
         let leave = platform.spawn(async move {
-            told.begun().await;
+            told.shutdown_begun().await;
             leaver.leave();
         });
         [task, leave]
@@ -162,7 +162,7 @@
         let door = Door::new(
             host.clone(),
             directory.clone(),
-            life.clone(),
+            lifecycle.clone(),
             counters.clone(),
             (fleet.clone(), reserve / 3),
         );
@@ -171,10 +171,10 @@
     let frontend = Frontend::new(
         host.clone(),
         register,
-        config.net.tenants,
-        life.clone(),
+        config.network.tenants,
+        lifecycle.clone(),
         counters,
-        [to_clients, reserve / 6, config.memory / 4],
+        [to_clients, reserve / 6, config.memory_bytes / 4],
         fleet.clone(),
     );
     let force = Force {
@@ -182,23 +182,23 @@
         host: host.clone(),
         directory: directory.clone(),
         pool,
-        life: life.clone(),
+        lifecycle: lifecycle.clone(),
         fields,
         fleet: fleet.clone(),
         said: RefCell::new(said),
     };
     let accord = fleet.as_ref().and_then(|fleet| fleet.accord());
     if let Some(accord) = accord {
-        let (judging, asked) = (accord.clone(), life.clone());
+        let (judging, asked) = (accord.clone(), lifecycle.clone());
         directory.judge_by(Box::new(move |name, zone, group| judging.verdict(name, zone, group)));
-        accord.ready_by(move || asked.ask(Machine::wanted));
+        accord.ready_by(move || asked.query(LifecycleState::is_ready));
     }
     let tuner = platform.clone();
     let tune = platform.spawn(async move {
         loop {
             tokio::select! {
                 biased;
-                config = control.next() => force.file(config),
+                config = reloader.next_config() => force.file(config),
                 () = recounted(&force.fleet) => {
                     force.fleet();
                     // Danger: hundreds that join in a second would have the module take new settings for each.
--- a/crates/sidecar/src/lifecycle.rs
+++ b/crates/sidecar/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! The life of a sidecar: starting, serving, draining and back, leaving, gone. [`Machine`] is told what happens and
-//! when, and knows no socket; [`Life`] asks it with the clock in hand and wakes who waits.
+//! The life of a sidecar: starting, serving, draining and back, leaving, gone. [`LifecycleState`] is told what happens and
+//! when, and knows no socket; [`Lifecycle`] asks it with the clock in hand and wakes who waits.
 
 use cometcroft_platform::Platform;
 use std::cell::Cell;
@@ -36,97 +36,106 @@
 
 /// What has happened to a sidecar, and what follows from it.
 #[derive(Debug, Clone, Copy)]
-pub struct Machine {
-    born: Instant,
+pub struct LifecycleState {
+    started: Instant,
     /// The listening socket is inherited: a predecessor may still read it, and a successor may already.
-    shared: bool,
+    shares_listener: bool,
     /// The earliest time of SIGKILL after SIGTERM.
-    kill: Duration,
-    listed: bool,
-    fresh: bool,
-    drain: Option<Instant>,
-    term: Option<Instant>,
+    kill_after: Duration,
+    has_endpoints: bool,
+    list_confirmed: bool,
+    drain_started: Option<Instant>,
+    shutdown_started: Option<Instant>,
 }
 
-impl Machine {
+impl LifecycleState {
     /// One that starts now, where clients wait for `longest` at most.
-    pub fn new(now: Instant, longest: Duration, shared: bool) -> Machine {
+    pub fn new(now: Instant, longest: Duration, shared: bool) -> LifecycleState {
         let kill = longest.min(LONGEST) + NOTICE;
-        Machine { born: now, shared, kill, listed: false, fresh: false, drain: None, term: None }
+        LifecycleState {
+            started: now,
+            shares_listener: shared,
+            kill_after: kill,
+            has_endpoints: false,
+            list_confirmed: false,
+            drain_started: None,
+            shutdown_started: None,
+        }
     }
 
     /// Clients wait for `longest` at most. Danger: whoever has sent SIGTERM counts from there by what was in force then, so
     /// after it the time only gets shorter.
-    pub fn longest(&mut self, longest: Duration) {
+    pub fn set_max_deadline(&mut self, longest: Duration) {
         let kill = longest.min(LONGEST) + NOTICE;
-        self.kill = if self.leaving() { kill.min(self.kill) } else { kill };
+        self.kill_after = if self.is_shutting_down() { kill.min(self.kill_after) } else { kill };
     }
 
     /// Another process may read the listening socket.
-    pub fn shared(&self) -> bool {
-        self.shared
+    pub fn shares_listener(&self) -> bool {
+        self.shares_listener
     }
 
     /// The list of backend servers is known, or known to be empty; `fresh` if it holds by what discovery said to this process.
-    pub fn listed(&mut self, any: bool, fresh: bool) {
-        self.listed = any;
-        self.fresh |= fresh;
+    pub fn record_list(&mut self, any: bool, fresh: bool) {
+        self.has_endpoints = any;
+        self.list_confirmed |= fresh;
     }
 
     /// Clients are to be sent away. Once it has begun, a second call changes nothing.
-    pub fn drain(&mut self, now: Instant) {
-        self.drain.get_or_insert(now);
+    pub fn start_drain(&mut self, now: Instant) {
+        self.drain_started.get_or_insert(now);
     }
 
     /// The end of that.
-    pub fn undrain(&mut self) {
-        self.drain = None;
+    pub fn stop_drain(&mut self) {
+        self.drain_started = None;
     }
 
     /// SIGTERM has come.
-    pub fn leave(&mut self, now: Instant) {
-        self.term.get_or_insert(now);
+    pub fn begin_shutdown(&mut self, now: Instant) {
+        self.shutdown_started.get_or_insert(now);
     }
 
     /// SIGTERM has come.
-    pub fn leaving(&self) -> bool {
-        self.term.is_some()
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutdown_started.is_some()
     }
 
     /// Clients are wanted: what `/up` and readiness say.
-    pub fn wanted(&self, now: Instant) -> bool {
-        let without = if self.shared { UNTOLD } else { UNCONFIRMED };
-        let confirmed = self.fresh || now >= self.born + without;
-        self.listed && confirmed && self.drain.is_none() && self.term.is_none()
+    pub fn is_ready(&self, now: Instant) -> bool {
+        let without = if self.shares_listener { UNTOLD } else { UNCONFIRMED };
+        let confirmed = self.list_confirmed || now >= self.started + without;
+        self.has_endpoints && confirmed && self.drain_started.is_none() && self.shutdown_started.is_none()
     }
 
     /// When the listening socket is read from. Danger: who accepts before it can serve takes clients from the
     /// predecessor that could.
     pub fn accepts_from(&self) -> Instant {
-        match (self.shared, self.listed, self.fresh) {
-            (false, ..) | (true, true, true) => self.born,
-            (true, true, false) => self.born + UNTOLD,
-            (true, false, _) => self.born + ALONE,
+        match (self.shares_listener, self.has_endpoints, self.list_confirmed) {
+            (false, ..) | (true, true, true) => self.started,
+            (true, true, false) => self.started + UNTOLD,
+            (true, false, _) => self.started + ALONE,
         }
     }
 
     /// When the listening socket is let go. Danger: with nobody else on it clients would be left with none; but where
     /// a successor reads it too, what is taken from it now is taken for nothing.
     pub fn accepts_until(&self) -> Option<Instant> {
-        self.term.map(|at| if self.shared { at } else { at + self.linger() })
+        self.shutdown_started.map(|at| if self.shares_listener { at } else { at + self.linger() })
     }
 
     /// Whether an answer ends its connection.
-    pub fn closes(&self, now: Instant) -> bool {
-        self.accepts_until().is_some_and(|at| now >= at) || self.drain.is_some_and(|at| now >= at + ARRIVING)
+    pub fn closes_connections(&self, now: Instant) -> bool {
+        self.accepts_until().is_some_and(|at| now >= at)
+            || self.drain_started.is_some_and(|at| now >= at + ARRIVING)
     }
 
     /// When a connection with no open request closes; `place` between 0 and 1 spreads them. Danger: all at once, every
     /// client would connect anew in the same instant.
-    pub fn idle_until(&self, place: f64) -> Option<Instant> {
+    pub fn idle_close_at(&self, place: f64) -> Option<Instant> {
         let within = |at: Instant, [from, to]: [Duration; 2]| at + from + (to - from).mul_f64(place);
-        let drained = self.drain.map(|at| within(at, DRAINED));
-        let left = self.term.map(|at| match self.shared {
+        let drained = self.drain_started.map(|at| within(at, DRAINED));
+        let left = self.shutdown_started.map(|at| match self.shares_listener {
             true => within(at, HANDED_OVER).min(at + self.before_ending()),
             false => at + self.linger(),
         });
@@ -135,52 +144,52 @@
 
     /// When a request that comes now is to be answered at the latest. Danger: SIGKILL loses what came after the
     /// notice and is unanswered, whatever time its client has left.
-    pub fn due(&self, now: Instant) -> Option<Instant> {
-        let begun = self.term?;
+    pub fn response_deadline(&self, now: Instant) -> Option<Instant> {
+        let begun = self.shutdown_started?;
         // A little early, as its clock and ours may be read at different moments.
         (now.saturating_duration_since(begun) + LATE >= NOTICE).then(|| begun + self.before_spare())
     }
 
     /// When all is answered at the latest, whenever it came: what a hanging backend server owes until after SIGKILL would get
     /// no answer at all.
-    pub fn answered_by(&self) -> Option<Instant> {
-        self.term.map(|begun| begun + self.before_spare())
+    pub fn final_response_deadline(&self) -> Option<Instant> {
+        self.shutdown_started.map(|begun| begun + self.before_spare())
     }
 
     /// So long after SIGTERM requests are taken where there is no successor: clients keep the connections that they
     /// have, and in their zone there may be nobody else for now.
     fn linger(&self) -> Duration {
         // Danger: with short deadlines SIGKILL comes soon, and would find requests on connections that are still open.
-        self.kill.saturating_sub(SPARE + LAST).max(LINGER).min(self.before_ending())
+        self.kill_after.saturating_sub(SPARE + LAST).max(LINGER).min(self.before_ending())
     }
 
     /// The time from SIGTERM within which all is answered.
     fn before_spare(&self) -> Duration {
-        self.kill.saturating_sub(SPARE)
+        self.kill_after.saturating_sub(SPARE)
     }
 
     /// The time from SIGTERM within which connections may stay open.
     fn before_ending(&self) -> Duration {
-        self.kill.saturating_sub(ENDING)
+        self.kill_after.saturating_sub(ENDING)
     }
 }
 
-/// The driver of a [`Machine`].
-pub struct Life<P: Platform> {
+/// The driver of a [`LifecycleState`].
+pub struct Lifecycle<P: Platform> {
     platform: P,
-    machine: Cell<Machine>,
+    machine: Cell<LifecycleState>,
     changed: Notify,
 }
 
-impl<P: Platform> Life<P> {
+impl<P: Platform> Lifecycle<P> {
     /// A sidecar that starts now. `shared`: its listening socket is inherited.
-    pub fn new(platform: P, longest: Duration, shared: bool) -> Life<P> {
-        let machine = Cell::new(Machine::new(platform.now(), longest, shared));
-        Life { platform, machine, changed: Notify::new() }
+    pub fn new(platform: P, longest: Duration, shared: bool) -> Lifecycle<P> {
+        let machine = Cell::new(LifecycleState::new(platform.now(), longest, shared));
+        Lifecycle { platform, machine, changed: Notify::new() }
     }
 
     /// Tells the machine something, with the time.
-    pub fn tell(&self, what: impl FnOnce(&mut Machine, Instant)) {
+    pub fn update(&self, what: impl FnOnce(&mut LifecycleState, Instant)) {
         let mut machine = self.machine.get();
         what(&mut machine, self.platform.now());
         self.machine.set(machine);
@@ -188,17 +197,17 @@
     }
 
     /// SIGTERM has come.
-    pub fn begin(&self) {
-        self.tell(Machine::leave);
+    pub fn begin_shutdown(&self) {
+        self.update(LifecycleState::begin_shutdown);
     }
 
     /// What the machine says now.
-    pub fn ask<T>(&self, what: impl FnOnce(&Machine, Instant) -> T) -> T {
+    pub fn query<T>(&self, what: impl FnOnce(&LifecycleState, Instant) -> T) -> T {
         what(&self.machine.get(), self.platform.now())
     }
 
     /// Waits for the time that the machine gives, however often it changes.
-    pub async fn until(&self, reached: impl Fn(&Machine) -> Option<Instant>) {
+    pub async fn wait_until(&self, reached: impl Fn(&LifecycleState) -> Option<Instant>) {
         loop {
             let changed = self.changed.notified();
             match reached(&self.machine.get()) {
@@ -214,7 +223,7 @@
     }
 
     /// Waits for SIGTERM.
-    pub async fn begun(&self) {
-        self.until(|machine| machine.term).await;
+    pub async fn shutdown_begun(&self) {
+        self.wait_until(|state| state.shutdown_started).await;
     }
 }
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -7,16 +7,16 @@
 use cometcroft_membership::Change;
 use cometcroft_plan::{RetryAttributes, RetryCause, RevisionContent};
 use cometcroft_platform::{Platform, Tokio};
-use cometcroft_sidecar::Parts;
+use cometcroft_sidecar::Resources;
 use cometcroft_sidecar::accord::{AccordEvent, AccordParts};
 use cometcroft_sidecar::config::Config;
 use cometcroft_sidecar::counters::Counters;
 use cometcroft_sidecar::fleet::FleetParts;
-use cometcroft_sidecar::lifecycle::Life;
+use cometcroft_sidecar::lifecycle::Lifecycle;
 use cometcroft_sidecar::logging;
 use cometcroft_sidecar::operator::{BudgetSection, FleetSection, Operator, PlanSection};
 use cometcroft_sidecar::purse::{BudgetParts, Use};
-use cometcroft_sidecar::retune::Control;
+use cometcroft_sidecar::reload::ConfigReloader;
 use std::hash::{BuildHasher, RandomState};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -136,8 +136,8 @@
     if let Some(Command::Check { file, plan, explain }) = cli.command {
         return if plan { check_plan(&file, explain.as_deref()) } else { check(&file) };
     }
-    match logging::level(variable(logging::VARIABLE).as_deref()) {
-        Ok(level) => logging::start(level),
+    match logging::parse_level(variable(logging::LEVEL_VARIABLE).as_deref()) {
+        Ok(level) => logging::init(level),
         Err(error) => {
             eprintln!("cometcroft: {error}");
             return ExitCode::from(2);
@@ -168,7 +168,7 @@
         }
     };
     // Before anything else opens descriptors.
-    let inherited = match config.socket.map(cometcroft_inherit::listener).transpose() {
+    let inherited = match config.inherited_socket.map(cometcroft_inherit::listener).transpose() {
         Ok(inherited) => inherited,
         Err(refused) => {
             eprintln!("cometcroft: configuration: LB_SOCKET_FD: {refused}");
@@ -239,8 +239,8 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut hangup = signal(SignalKind::hangup())?;
-    let control = Control::new(&config);
-    let (retuned, counted) = (control.clone(), counters.clone());
+    let reloader = ConfigReloader::new(&config);
+    let (retuned, counted) = (reloader.clone(), counters.clone());
     Tokio.detach(async move {
         while hangup.recv().await.is_some() {
             if let Err(error) = retuned.reload(Config::reload(variable), &counted) {
@@ -248,14 +248,14 @@
             }
         }
     });
-    let life = Rc::new(Life::new(Tokio, config.longest_deadline(), inherited.is_some()));
-    let begin = life.clone();
+    let lifecycle = Rc::new(Lifecycle::new(Tokio, config.max_deadline(), inherited.is_some()));
+    let begin = lifecycle.clone();
     Tokio.detach(async move {
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        begin.begin();
+        begin.begin_shutdown();
     });
     let listener = match inherited {
         Some(inherited) => TcpListener::from_std(inherited)?,
@@ -269,7 +269,8 @@
         Some(fleet) => Some(join(fleet).await?),
         None => None,
     };
-    cometcroft_sidecar::run(Tokio, config, Parts { listener, ops, control, life, counters, fleet }).await
+    cometcroft_sidecar::run(Tokio, config, Resources { listener, ops, reloader, lifecycle, counters, fleet })
+        .await
 }
 
 /// Opens a member's sockets, and has its changes told in the log.
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -304,7 +304,7 @@
     pub fn member(&self, config: &Config) -> Result<membership::Config, String> {
         let name = Name::new(&config.name).filter(|name| !name.as_str().is_empty());
         let name = name.ok_or_else(|| format!("{:?} is no name of a member: 1 to 40 bytes", config.name))?;
-        let zone = config.net.zones.get(config.settings.zone.0).map(String::as_str).unwrap_or_default();
+        let zone = config.network.zones.get(config.settings.zone.0).map(String::as_str).unwrap_or_default();
         let mut member = membership::Config::new(&self.name, name, self.advertise.unwrap_or(self.bind));
         member.zone = Name::new(zone).unwrap_or_default();
         member.tier = u8::try_from(config.settings.tier).unwrap_or(u8::MAX);
@@ -422,7 +422,7 @@
         config: &Config,
     ) -> Result<(budget::Config, Vec<Use>), String> {
         // The sidecar itself ends a request at its deadline.
-        let told = self.config(fleet, config.longest_deadline());
+        let told = self.config(fleet, config.max_deadline());
         told.map_err(|(_, field, reason)| format!("{field}: {reason}"))
     }
 
--- a/crates/sidecar/src/retune.rs
+++ b/crates/sidecar/src/reload.rs
@@ -10,20 +10,20 @@
 
 /// Hands new configurations to a running sidecar.
 #[derive(Debug)]
-pub struct Control {
+pub struct ConfigReloader {
     /// Where discovery answers.
-    pub source: Rc<Source>,
+    pub discovery_source: Rc<Source>,
     in_force: RefCell<Rc<Value>>,
     next: RefCell<Option<Config>>,
     came: Notify,
 }
 
-impl Control {
+impl ConfigReloader {
     /// For a sidecar that starts with this configuration.
-    pub fn new(config: &Config) -> Rc<Control> {
-        Rc::new(Control {
-            source: Source::new(config.discovery, &config.settings),
-            in_force: RefCell::new(config.text.clone()),
+    pub fn new(config: &Config) -> Rc<ConfigReloader> {
+        Rc::new(ConfigReloader {
+            discovery_source: Source::new(config.discovery, &config.settings),
+            in_force: RefCell::new(config.document.clone()),
             next: RefCell::default(),
             came: Notify::new(),
         })
@@ -33,7 +33,7 @@
     pub fn reload(&self, read: Result<Config, ConfigError>, counters: &Counters) -> Result<(), ConfigError> {
         // Danger: a file that makes no sense must not take down what serves, and one that was cut or edited badly may
         // make sense by itself: what it lacks would be made up from defaults.
-        let read = read.and_then(|config| match lacks(&self.in_force.borrow(), &config.text) {
+        let read = read.and_then(|config| match lacks(&self.in_force.borrow(), &config.document) {
             Some(field) => {
                 Err(ConfigError { field, reason: "is missing, and the file in force has it".into() })
             }
@@ -42,8 +42,8 @@
         match read {
             Ok(config) => {
                 count(&counters.reloads);
-                self.in_force.replace(config.text.clone());
-                self.source.move_to(config.discovery, &config.settings);
+                self.in_force.replace(config.document.clone());
+                self.discovery_source.move_to(config.discovery, &config.settings);
                 self.next.replace(Some(config));
                 self.came.notify_one();
                 Ok(())
@@ -56,7 +56,7 @@
     }
 
     /// The next configuration to put in force.
-    pub async fn next(&self) -> Config {
+    pub async fn next_config(&self) -> Config {
         loop {
             if let Some(config) = self.next.take() {
                 return config;
--- a/crates/sidecar/src/figures.rs
+++ b/crates/sidecar/src/request_stats.rs
@@ -11,7 +11,7 @@
 
 /// What came of the requests of one class, since the process started.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct Tally {
+pub struct ClassStats {
     /// Requests served.
     pub fulfilled: u64,
     /// Requests refused.
@@ -24,9 +24,9 @@
 
 /// All figures, as the door gives them.
 #[derive(Debug, Serialize)]
-pub struct Report {
+pub struct StatsReport {
     /// By class.
-    pub operations: BTreeMap<String, Tally>,
+    pub operations: BTreeMap<String, ClassStats>,
     /// Dispatches written whole to a backend server, of all classes.
     pub relayed: u64,
     /// Requests taken and not yet ended.
@@ -47,11 +47,11 @@
     pub cfg_invalid: u64,
 }
 
-/// The tallies of all classes that there were, and the requests that are open.
+/// The classes of all classes that there were, and the requests that are open.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct RequestStats {
     /// With the turn in which each class was last in force.
-    tallies: RefCell<BTreeMap<String, (u64, Tally)>>,
+    classes: RefCell<BTreeMap<String, (u64, ClassStats)>>,
     turn: Cell<u64>,
     /// The names of the classes, by number.
     names: RefCell<Vec<String>>,
@@ -59,42 +59,42 @@
     relayed: Cell<u64>,
 }
 
-impl Figures {
+impl RequestStats {
     /// The classes are called so from now on. What was counted under a name stays.
-    pub fn name(&self, names: &[String]) {
-        let mut tallies = self.tallies.borrow_mut();
+    pub fn set_class_names(&self, names: &[String]) {
+        let mut classes = self.classes.borrow_mut();
         let turn = self.turn.get() + 1;
         self.turn.set(turn);
         for name in names {
-            tallies.entry(name.clone()).or_default().0 = turn;
+            classes.entry(name.clone()).or_default().0 = turn;
         }
         // Danger: files that bring ever new names must not fill the memory.
-        while tallies.len() > NAMES.max(names.len()) {
-            let gone = tallies.iter().min_by_key(|(_, (turn, _))| *turn).map(|(name, _)| name.clone());
-            gone.and_then(|gone| tallies.remove(&gone));
+        while classes.len() > NAMES.max(names.len()) {
+            let gone = classes.iter().min_by_key(|(_, (turn, _))| *turn).map(|(name, _)| name.clone());
+            gone.and_then(|gone| classes.remove(&gone));
         }
         *self.names.borrow_mut() = names.to_vec();
     }
 
     /// Counts something for a class.
-    pub fn count(&self, class: ClassId, what: impl FnOnce(&mut Tally) -> &mut u64) {
+    pub fn increment(&self, class: ClassId, what: impl FnOnce(&mut ClassStats) -> &mut u64) {
         let names = self.names.borrow();
-        let mut tallies = self.tallies.borrow_mut();
-        if let Some((_, tally)) = names.get(class.0).and_then(|name| tallies.get_mut(name)) {
-            let counted = what(tally);
+        let mut classes = self.classes.borrow_mut();
+        if let Some((_, stats)) = names.get(class.0).and_then(|name| classes.get_mut(name)) {
+            let counted = what(stats);
             *counted = counted.saturating_add(1);
         }
     }
 
     /// A dispatch of this class has been written whole.
-    pub fn relay(&self, class: ClassId) {
+    pub fn record_relayed(&self, class: ClassId) {
         self.relayed.set(self.relayed.get() + 1);
-        self.count(class, |tally| &mut tally.relayed);
+        self.increment(class, |stats| &mut stats.relayed);
     }
 
-    /// The tallies, by class.
-    pub fn tallies(&self) -> BTreeMap<String, Tally> {
-        self.tallies.borrow().iter().map(|(name, (_, tally))| (name.clone(), *tally)).collect()
+    /// The classes, by class.
+    pub fn by_class(&self) -> BTreeMap<String, ClassStats> {
+        self.classes.borrow().iter().map(|(name, (_, stats))| (name.clone(), *stats)).collect()
     }
 
     /// Dispatches written whole to a backend server, of all classes that there ever were.
@@ -103,22 +103,22 @@
     }
 
     /// Requests taken and not yet ended.
-    pub fn open(&self) -> u64 {
+    pub fn open_requests(&self) -> u64 {
         self.open.get()
     }
 
     /// A request has been taken; it has ended when what this gives is dropped.
-    pub fn begin(&self) -> Open<'_> {
+    pub fn begin_request(&self) -> OpenRequest<'_> {
         self.open.set(self.open.get() + 1);
-        Open(self)
+        OpenRequest(self)
     }
 }
 
 /// An open request.
 #[derive(Debug)]
-pub struct Open<'a>(&'a Figures);
+pub struct OpenRequest<'a>(&'a RequestStats);
 
-impl Drop for Open<'_> {
+impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get().saturating_sub(1));
     }
--- a/crates/sidecar/src/start_clock.rs
+++ b/crates/sidecar/src/start_clock.rs
@@ -56,7 +56,7 @@
 
     /// When an endpoint started that says so in Unix time; `None` where that was long ago. Where several offsets of the wall
     /// clock fit, the latest time counts: an endpoint is rather taken to be cold for too long than for too short.
-    pub fn started(&self, since_ms: i64) -> Option<Time> {
+    pub fn start_time(&self, since_ms: i64) -> Option<Time> {
         if since_ms <= 0 {
             return None;
         }
--- a/crates/sidecar/src/words.rs
+++ b/crates/sidecar/src/words.rs
@@ -4,7 +4,7 @@
 use crate::accord::{Accord, Failure};
 use crate::directory::Directory;
 use crate::http::server::{Request, Status};
-use crate::lifecycle::Life;
+use crate::lifecycle::Lifecycle;
 use cometcroft_consensus::ConsensusError;
 use cometcroft_plan::{Command, CommandOutcome, PermitTarget};
 use cometcroft_platform::Platform;
@@ -85,11 +85,11 @@
 pub async fn answer<P: Platform>(
     accord: &Rc<Accord<P>>,
     directory: &Directory,
-    life: &Rc<Life<P>>,
+    lifecycle: &Rc<Lifecycle<P>>,
     path: &[u8],
     request: &Request,
 ) -> (Status, String) {
-    let (status, value) = match said(accord, directory, life, path, request).await {
+    let (status, value) = match said(accord, directory, lifecycle, path, request).await {
         Ok(value) => (Status::Ok, value),
         Err(refused) => refused,
     };
@@ -101,12 +101,12 @@
 }
 
 /// A planned stop: this sidecar leaves, as after SIGTERM, once its permit is given; never if it is given back first.
-fn leave_in_turn<P: Platform>(accord: &Rc<Accord<P>>, life: &Rc<Life<P>>, permit: u32) {
-    let (accord, life) = (accord.clone(), life.clone());
+fn leave_in_turn<P: Platform>(accord: &Rc<Accord<P>>, lifecycle: &Rc<Lifecycle<P>>, permit: u32) {
+    let (accord, lifecycle) = (accord.clone(), lifecycle.clone());
     let platform = accord.platform().clone();
     platform.detach(async move {
         if accord.granted(permit).await {
-            life.begin();
+            lifecycle.begin_shutdown();
         }
     });
 }
@@ -114,7 +114,7 @@
 async fn said<P: Platform>(
     accord: &Rc<Accord<P>>,
     directory: &Directory,
-    life: &Rc<Life<P>>,
+    lifecycle: &Rc<Lifecycle<P>>,
     path: &[u8],
     request: &Request,
 ) -> Result<Value, (Status, Value)> {
@@ -192,7 +192,7 @@
     match accord.say(word, reason, expects, id).await {
         Ok(CommandOutcome::Applied { index, number }) => {
             if path == b"/restart" && query.contains_key("leave") {
-                leave_in_turn(accord, life, number);
+                leave_in_turn(accord, lifecycle, number);
             }
             Ok(json!({"taken": true, "index": index, "number": number}))
         }
--- a/crates/sidecar/tests/common/mod.rs
+++ b/crates/sidecar/tests/common/mod.rs
@@ -1,16 +1,16 @@
 //! What the tests share: one seed for every run, and a configuration.
 #![allow(dead_code, clippy::disallowed_methods)]
 
+pub mod in_process;
 pub mod program;
-pub mod story;
 
 use proptest::test_runner::{Config, RngSeed};
 
-pub fn fixed(cases: u32) -> Config {
+pub fn proptest_config(cases: u32) -> Config {
     Config { cases, failure_persistence: None, rng_seed: RngSeed::Fixed(41), ..Config::default() }
 }
 
-pub fn config(listen: &str, discovery: &str, known: &str) -> String {
+pub fn config_json(listen: &str, discovery: &str, known: &str) -> String {
     let class = |name: &str, effect: &str| {
         format!(
             r#"{{"deadline-ns":3000000000,"dedup-scope":"all","effect":"{effect}","key-ttl-ns":5000000000,
--- a/crates/sidecar/tests/common/program.rs
+++ b/crates/sidecar/tests/common/program.rs
@@ -12,22 +12,22 @@
 
 /// What a stand-in received.
 #[derive(Default)]
-pub struct Received {
+pub struct StubStats {
     pub connections: AtomicU64,
     pub requests: AtomicU64,
     pub probes: AtomicU64,
     pub open: AtomicU64,
-    pub most: AtomicU64,
+    pub max_open: AtomicU64,
 }
 
-impl Received {
-    pub fn of(&self, count: fn(&Received) -> &AtomicU64) -> u64 {
+impl StubStats {
+    pub fn get(&self, count: fn(&StubStats) -> &AtomicU64) -> u64 {
         count(self).load(Ordering::SeqCst)
     }
 }
 
 /// One message up to its blank line, without a body.
-pub fn head(stream: &mut TcpStream) -> Option<String> {
+pub fn read_head(stream: &mut TcpStream) -> Option<String> {
     let (mut text, mut byte) = (Vec::new(), [0]);
     while !text.ends_with(b"\r\n\r\n") {
         match stream.read(&mut byte) {
@@ -39,11 +39,11 @@
 }
 
 /// A stand-in at a port that the system picks; `answer` makes the answer of a request's head.
-pub fn stand_in(
-    answer: impl Fn(&str, &Received) -> String + Send + Sync + 'static,
-) -> (SocketAddr, Arc<Received>) {
+pub fn start_stub(
+    answer: impl Fn(&str, &StubStats) -> String + Send + Sync + 'static,
+) -> (SocketAddr, Arc<StubStats>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (at, received) = (listener.local_addr().expect("bound"), Arc::<Received>::default());
+    let (at, received) = (listener.local_addr().expect("bound"), Arc::<StubStats>::default());
     let (counted, answer) = (received.clone(), Arc::new(answer));
     std::thread::spawn(move || {
         for stream in listener.incoming() {
@@ -51,7 +51,7 @@
             counted.connections.fetch_add(1, Ordering::SeqCst);
             let (counted, answer) = (counted.clone(), answer.clone());
             std::thread::spawn(move || {
-                while let Some(asked) = head(&mut stream) {
+                while let Some(asked) = read_head(&mut stream) {
                     let answer = answer(&asked, &counted);
                     if stream.write_all(answer.as_bytes()).is_err() || answer.contains("Connection: close") {
                         return;
@@ -64,8 +64,8 @@
 }
 
 /// A backend server: each request takes `work`; it serves, or turns away unexamined.
-pub fn backend(work: Duration, extra: &'static str, rejects: bool) -> (SocketAddr, Arc<Received>) {
-    stand_in(move |asked, received| {
+pub fn start_endpoint(work: Duration, extra: &'static str, rejects: bool) -> (SocketAddr, Arc<StubStats>) {
+    start_stub(move |asked, received| {
         if asked.starts_with("GET /metrics/load") {
             received.probes.fetch_add(1, Ordering::SeqCst);
             let body = r#"{"inflight":1,"queue":0}"#;
@@ -73,7 +73,7 @@
         }
         received.requests.fetch_add(1, Ordering::SeqCst);
         let open = received.open.fetch_add(1, Ordering::SeqCst) + 1;
-        received.most.fetch_max(open, Ordering::SeqCst);
+        received.max_open.fetch_max(open, Ordering::SeqCst);
         std::thread::sleep(work);
         received.open.fetch_sub(1, Ordering::SeqCst);
         match rejects {
@@ -83,7 +83,7 @@
     })
 }
 
-pub fn list(backends: &[SocketAddr], index: u64) -> String {
+pub fn list_json(backends: &[SocketAddr], index: u64) -> String {
     let row = |(i, at): (usize, &SocketAddr)| {
         format!(r#"{{"name":"s{i}","address":"{at}","zone":"a","status":"up","weight":1.0,"since_ms":0}}"#)
     };
@@ -100,7 +100,7 @@
 impl Process {
     /// One with this configuration and these variables, that may hold so many descriptors.
     pub fn start(config: &str, variables: &[(&str, String)], descriptors: usize) -> Process {
-        let number = NUMBER.fetch_add(1, Ordering::SeqCst);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
         let file = std::env::temp_dir().join(format!("cometcroft-process-{}-{number}", std::process::id()));
         std::fs::write(&file, config).expect("a file");
         let program = env!("CARGO_BIN_EXE_cometcroft");
@@ -126,7 +126,7 @@
     }
 
     /// What it said, once it has ended.
-    pub fn end(mut self) -> Output {
+    pub fn wait(mut self) -> Output {
         self.child.take().expect("it runs").wait_with_output().expect("it ends")
     }
 }
@@ -142,14 +142,14 @@
 }
 
 /// A sidecar with a budget, ended with the test.
-pub struct Sidecar {
+pub struct SidecarProcess {
     child: Child,
     listen: SocketAddr,
     pub ops: SocketAddr,
     files: PathBuf,
 }
 
-impl Drop for Sidecar {
+impl Drop for SidecarProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -158,32 +158,32 @@
 }
 
 /// Discovery at this address answers its first call, that there is no news, and goes down.
-pub fn confirm_once(address: SocketAddr) -> JoinHandle<()> {
+pub fn start_confirm_once(address: SocketAddr) -> JoinHandle<()> {
     let listener = TcpListener::bind(address).expect("its address");
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a call");
         drop(listener);
-        head(&mut stream);
-        stream.write_all(no_news().as_bytes()).expect("it reads");
+        read_head(&mut stream);
+        stream.write_all(unchanged_response().as_bytes()).expect("it reads");
     })
 }
 
 /// An answer of discovery, which has version 1: nothing has changed.
-pub fn no_news() -> String {
+pub fn unchanged_response() -> String {
     let list = r#"{"index":1,"snapshot":false,"endpoints":[]}"#;
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())
 }
 
-pub static NUMBER: AtomicU64 = AtomicU64::new(1);
+pub static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-static PLACES: AtomicU64 = AtomicU64::new(0);
+static NEXT_ADDRESS: AtomicU64 = AtomicU64::new(0);
 
 /// Addresses for so many sidecars: for clients, for operators, for the fleet. Danger: a port that the system has picked and
 /// that was released it may pick again for another test's process before ours has it, and two fleets would meet; so each
 /// sidecar has a loopback address of its own.
-pub fn places(count: usize) -> Vec<[SocketAddr; 3]> {
+pub fn sidecar_addresses(count: usize) -> Vec<[SocketAddr; 3]> {
     let place = || {
-        let (id, number) = (std::process::id(), PLACES.fetch_add(1, Ordering::SeqCst));
+        let (id, number) = (std::process::id(), NEXT_ADDRESS.fetch_add(1, Ordering::SeqCst));
         let ip = [127, 20 + (id % 70) as u8, (id / 70 % 250) as u8, 1 + (number % 250) as u8];
         let addresses = free_addresses(Ipv4Addr::from(ip), 3).expect("free ports");
         <[SocketAddr; 3]>::try_from(addresses).expect("three")
@@ -191,7 +191,7 @@
     (0..count).map(|_| place()).collect()
 }
 
-pub fn ask(at: SocketAddr, text: &str) -> Option<String> {
+pub fn send_raw(at: SocketAddr, text: &str) -> Option<String> {
     let mut stream = TcpStream::connect(at).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(10))).ok()?;
     stream.write_all(text.as_bytes()).ok()?;
@@ -200,28 +200,34 @@
     Some(answer)
 }
 
-impl Sidecar {
+impl SidecarProcess {
     /// One that shares its wholes with nobody: it is its own keeper.
-    pub fn start(backends: &[SocketAddr], discovery: SocketAddr, probes: bool, wholes: &str) -> Sidecar {
-        let place = places(1)[0];
+    pub fn start(
+        backends: &[SocketAddr],
+        discovery: SocketAddr,
+        probes: bool,
+        wholes: &str,
+    ) -> SidecarProcess {
+        let place = sidecar_addresses(1)[0];
         let bind = place[2];
         let budget = format!("[budget]\nkeepers = [\"{bind}\"]\nlease = \"400ms\"\n{wholes}");
-        Sidecar::begin("n0", place, backends, discovery, probes, &budget)
+        SidecarProcess::start_at("n0", place, backends, discovery, probes, &budget)
     }
 
     /// One at these addresses (clients, operators, fleet), whose operator's file has these sections beside `[fleet]`.
-    pub fn begin(
+    pub fn start_at(
         name: &str,
         [listen, ops, bind]: [SocketAddr; 3],
         backends: &[SocketAddr],
         discovery: SocketAddr,
         probes: bool,
         sections: &str,
-    ) -> Sidecar {
-        let number = NUMBER.fetch_add(1, Ordering::SeqCst);
+    ) -> SidecarProcess {
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
         let files = std::env::temp_dir().join(format!("cometcroft-program-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&files).expect("a folder");
-        let mut config = super::config(&listen.to_string(), &discovery.to_string(), &list(backends, 1));
+        let mut config =
+            super::config_json(&listen.to_string(), &discovery.to_string(), &list_json(backends, 1));
         config = config.replace("\"name\":\"n0\"", &format!("\"name\":\"{name}\""));
         if probes {
             config = config.replace("\"probes\":false", "\"probes\":true");
@@ -237,19 +243,19 @@
             .stderr(std::fs::File::create(files.join("stderr")).expect("a file"))
             .spawn()
             .expect("it starts");
-        Sidecar { child, listen, ops, files }
+        SidecarProcess { child, listen, ops, files }
     }
 
     /// Whether its process has ended.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_ended(&mut self) -> bool {
         self.child.try_wait().is_ok_and(|status| status.is_some())
     }
 
     /// Waits until it divides, and holds what of each whole is given without need.
-    pub fn ready(self) -> Sidecar {
+    pub fn wait_until_ready(self) -> SidecarProcess {
         let began = Instant::now();
         loop {
-            let text = ask(self.ops, "GET /ops/fleet HTTP/1.1\r\nHost: h\r\n\r\n").unwrap_or_default();
+            let text = send_raw(self.ops, "GET /ops/fleet HTTP/1.1\r\nHost: h\r\n\r\n").unwrap_or_default();
             let body = text.split("\r\n\r\n").nth(1).unwrap_or_default();
             let told: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
             let flag = |name: &str| told["budgets"][name].as_bool();
@@ -271,18 +277,18 @@
 
     /// One request: its status and whether it was told when to come again.
     pub fn request(&self, path: &str, tenant: Option<&str>) -> (u16, bool) {
-        let number = NUMBER.fetch_add(1, Ordering::SeqCst);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
         let caller = tenant.map(|tenant| format!("X-Caller: {tenant}\r\n")).unwrap_or_default();
         let text = format!(
             "GET {path} HTTP/1.1\r\nHost: h\r\nX-Call-Id: {number:016x}\r\nX-Budget: 2500m\r\n{caller}Connection: close\r\n\r\n"
         );
-        let answer = ask(self.listen, &text).unwrap_or_default();
+        let answer = send_raw(self.listen, &text).unwrap_or_default();
         let status = answer.get(9..12).and_then(|status| status.parse().ok()).unwrap_or(0);
         (status, answer.to_ascii_lowercase().contains("retry-after"))
     }
 
     pub fn counter(&self, name: &str) -> u64 {
-        let text = ask(self.listen, "GET /counters HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
+        let text = send_raw(self.listen, "GET /counters HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
         let text = text.unwrap_or_default();
         let body = text.split("\r\n\r\n").nth(1).unwrap_or_default();
         let told: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
@@ -290,7 +296,7 @@
     }
 
     /// Requests side by side, each `path` of its own; how they ended.
-    pub fn at_once(&self, count: usize, tenant: Option<&str>) -> Vec<(u16, bool)> {
+    pub fn request_concurrently(&self, count: usize, tenant: Option<&str>) -> Vec<(u16, bool)> {
         std::thread::scope(|scope| {
             let calls: Vec<_> = (0..count)
                 .map(|i| scope.spawn(move || self.request(&format!("/plan/{i}"), tenant)))
@@ -301,14 +307,17 @@
 }
 
 /// Discovery that tells one list and then holds calls for as long as they may wait, 1.5 s at the most.
-pub fn discovery(backends: Vec<SocketAddr>) -> SocketAddr {
-    stand_in(move |asked, _| {
+pub fn start_discovery(backends: Vec<SocketAddr>) -> SocketAddr {
+    start_stub(move |asked, _| {
         let held = asked.contains("hold_ms=");
         if held && !asked.contains("hold_ms=0 ") {
             std::thread::sleep(Duration::from_millis(1500));
         }
-        let body =
-            if held { r#"{"index":1,"snapshot":false,"endpoints":[]}"#.into() } else { list(&backends, 1) };
+        let body = if held {
+            r#"{"index":1,"snapshot":false,"endpoints":[]}"#.into()
+        } else {
+            list_json(&backends, 1)
+        };
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
     })
     .0
--- a/crates/sidecar/tests/crowded_discovery.rs
+++ b/crates/sidecar/tests/crowded_discovery.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::disallowed_methods)]
 mod common;
 
-use common::program::{NUMBER, Process, head, list, places};
+use common::program::{NEXT_NUMBER, Process, list_json, read_head, sidecar_addresses};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -93,7 +93,7 @@
     std::thread::spawn(move || {
         while let Ok(1) = stream.peek(&mut [0]) {
             let first_byte = Instant::now();
-            let Some(asked) = head(&mut stream) else { return };
+            let Some(asked) = read_head(&mut stream) else { return };
             if stream.write_all(answer(&asked, first_byte).as_bytes()).is_err() {
                 return;
             }
@@ -134,12 +134,12 @@
         return REFUSAL.to_owned();
     }
     let body = match (from, world.version()) {
-        (None, 1) => list(endpoints, 1),
+        (None, 1) => list_json(endpoints, 1),
         (Some(from), version) if from >= version => {
             format!(r#"{{"index":{version},"snapshot":false,"endpoints":[]}}"#)
         }
         (_, version) => {
-            let drains = list(&endpoints[..DRAINED], version).replace(r#""up""#, r#""draining""#);
+            let drains = list_json(&endpoints[..DRAINED], version).replace(r#""up""#, r#""draining""#);
             drains.replace(r#""snapshot":true"#, r#""snapshot":false"#)
         }
     };
@@ -148,7 +148,7 @@
 
 /// Discovery at an address that nobody else picks, as connections there are refused while it is down.
 fn discovery(world: Arc<World>, endpoints: Vec<SocketAddr>) -> SocketAddr {
-    let [_, address, _] = places(1)[0];
+    let [_, address, _] = sidecar_addresses(1)[0];
     let mut listener = Some(listen_at(address));
     std::thread::spawn(move || {
         let mut connections = Vec::new();
@@ -186,15 +186,15 @@
 
 impl Sidecar {
     fn start(name: &str, discovery: SocketAddr, known: &str) -> Sidecar {
-        let listen = places(1)[0][0];
-        let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-        let config = common::config(&listen.to_string(), &discovery.to_string(), known)
+        let listen = sidecar_addresses(1)[0][0];
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
+        let config = common::config_json(&listen.to_string(), &discovery.to_string(), known)
             .replace("8c1f30d27a5be964", &format!("{number:016x}"));
         Sidecar { name: name.to_owned(), _process: Process::start(&config, &[], 256), listen }
     }
 
     fn request(&self) -> Option<u16> {
-        let number = NUMBER.fetch_add(1, Ordering::SeqCst);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
         let mut stream = TcpStream::connect(self.listen).ok()?;
         stream.set_read_timeout(Some(10_000 * MS)).ok()?;
         let (name, listen) = (&self.name, self.listen);
@@ -202,7 +202,7 @@
             "GET /plan/1 HTTP/1.1\r\nHost: {listen}\r\nX-Call-Id: {name}-{number}\r\nX-Budget: 2000m\r\n\r\n"
         );
         stream.write_all(text.as_bytes()).ok()?;
-        head(&mut stream)?.get(9..12)?.parse().ok()
+        read_head(&mut stream)?.get(9..12)?.parse().ok()
     }
 
     fn wait_until_it_listens(&self) {
@@ -265,7 +265,7 @@
         let world = Arc::new(world);
         let endpoints: Vec<SocketAddr> =
             (0..ENDPOINTS).map(|number| endpoint(world.clone(), number)).collect();
-        let known = list(&endpoints, 1);
+        let known = list_json(&endpoints, 1);
         let discovery = discovery(world.clone(), endpoints);
         Fleet { world, known, discovery, end: Instant::now() + lasts, loads: Vec::new() }
     }
--- a/crates/sidecar/tests/discovery_schedule.rs
+++ b/crates/sidecar/tests/discovery_schedule.rs
@@ -31,7 +31,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(2000))]
+    #![proptest_config(common::proptest_config(2000))]
     /// Whatever failed before: after a call that was refused or broke off, the next one may still fall silent, and another
     /// is made with half a second left before what it brings counts as told. Same after an answer and after an outage,
     /// where what a silent wait misses counts as told 2 s after the wait is over, if that is later. A discovery that cannot
--- a/crates/sidecar/tests/endpoint_list.rs
+++ b/crates/sidecar/tests/endpoint_list.rs
@@ -36,7 +36,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(300))]
+    #![proptest_config(common::proptest_config(300))]
     #[test]
     fn a_list_reads_the_same_however_it_is_cut(
         pieces in proptest::collection::vec(1usize..400, 1..20),
--- a/crates/sidecar/tests/fleet.rs
+++ b/crates/sidecar/tests/fleet.rs
@@ -72,9 +72,9 @@
     let folder = std::env::temp_dir().join(format!("cometcroft-off-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     for fleet in [false, true] {
-        let [listen, ops, bind] = common::program::places(1)[0];
+        let [listen, ops, bind] = common::program::sidecar_addresses(1)[0];
         let (config, operator) = (folder.join("config.json"), folder.join("operator.toml"));
-        let text = common::config(&listen.to_string(), "127.0.0.1:9", "null");
+        let text = common::config_json(&listen.to_string(), "127.0.0.1:9", "null");
         std::fs::write(&config, text).expect("written");
         let member =
             if fleet { format!("[fleet]\nname = \"f\"\nbind = \"{bind}\"\n") } else { String::new() };
--- a/crates/sidecar/tests/freshness.rs
+++ b/crates/sidecar/tests/freshness.rs
@@ -75,7 +75,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(2000))]
+    #![proptest_config(common::proptest_config(2000))]
     /// Whenever answers come: nothing begins by the list alone when a change right after the last one may count as told.
     #[test]
     fn nothing_begins_when_a_change_may_count_as_told(
--- a/crates/sidecar/tests/http.rs
+++ b/crates/sidecar/tests/http.rs
@@ -57,7 +57,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(200))]
+    #![proptest_config(common::proptest_config(200))]
 
     /// Random requests, pipelined, perhaps with a broken one at the end, in random pieces; each is answered
     /// at a random time.
--- a/crates/sidecar/tests/long_lists.rs
+++ b/crates/sidecar/tests/long_lists.rs
@@ -5,7 +5,10 @@
 
 use cometcroft_platform::{Platform, Tokio};
 use cometcroft_sidecar::config::Config;
-use common::story::{PLAN, Peer, Sidecar, next, pushed, reaches, row, slow_dials, story, story_with, watch};
+use common::in_process::{
+    PLAN_REQUEST, Sidecar, TestConnection, accept, endpoint_entry, is_served, open_watch, with_pushed_lists,
+    with_sidecar, with_sidecar_config, with_slow_connects,
+};
 use std::fmt::Write;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -25,7 +28,7 @@
 
 /// A whole list of [`ENDPOINTS`] with the sidecar's one endpoint first; all others drain.
 fn long_list(sidecar: &Sidecar, index: i64, status: &str) -> String {
-    let mut rows = row(sidecar, status);
+    let mut rows = endpoint_entry(sidecar, status);
     for i in 1..ENDPOINTS {
         let _ = write!(
             rows,
@@ -51,18 +54,18 @@
 }
 
 /// Writes part of a body.
-async fn write(peer: &mut Peer, framing: Framing, part: &str) {
+async fn write(peer: &mut TestConnection, framing: Framing, part: &str) {
     match framing {
-        Framing::Length => peer.say(part).await,
-        Framing::Chunked => peer.say(&format!("{:x}\r\n{part}\r\n", part.len())).await,
+        Framing::Length => peer.send(part).await,
+        Framing::Chunked => peer.send(&format!("{:x}\r\n{part}\r\n", part.len())).await,
     }
 }
 
 /// Writes a body in so many pieces with pauses between them.
-async fn drip(mut peer: Peer, list: String, pieces: usize, pause: Duration) -> Peer {
-    peer.say(&head(Framing::Length, &list)).await;
+async fn drip(mut peer: TestConnection, list: String, pieces: usize, pause: Duration) -> TestConnection {
+    peer.send(&head(Framing::Length, &list)).await;
     for piece in list.as_bytes().chunks(list.len().div_ceil(pieces)) {
-        peer.say(std::str::from_utf8(piece).expect("ASCII")).await;
+        peer.send(std::str::from_utf8(piece).expect("ASCII")).await;
         Tokio.sleep(pause).await;
     }
     peer
@@ -72,22 +75,22 @@
 fn move_to(sidecar: &Sidecar, elsewhere: &TcpListener) {
     let at = elsewhere.local_addr().expect("an address").to_string();
     let known = changes(1, "").replace("false", "true");
-    let reloaded = Config::parse(&common::config(&sidecar.address, &at, &known), |_| None);
-    sidecar.control.reload(reloaded, &sidecar.counters).expect("it is taken over");
+    let reloaded = Config::parse(&common::config_json(&sidecar.address, &at, &known), |_| None);
+    sidecar.reloader.reload(reloaded, &sidecar.counters).expect("it is taken over");
 }
 
 /// A list that keeps coming for three seconds: its first record binds when it has arrived, not at the end.
 #[test]
 fn a_drain_at_the_head_of_a_long_list_binds_while_the_list_still_arrives() {
-    story(|sidecar| async move {
-        let mut discovery = next(&sidecar.discovery).await;
-        discovery.hear().await;
+    with_sidecar(|sidecar| async move {
+        let mut discovery = accept(&sidecar.discovery).await;
+        discovery.receive().await;
         let list = long_list(&sidecar, 2, "draining");
         let arriving = tokio::task::spawn_local(drip(discovery, list, 100, 30 * MS));
         Tokio.sleep(GRACE).await;
-        assert!(!reaches(&sidecar).await, "it was told so long ago");
+        assert!(!is_served(&sidecar).await, "it was told so long ago");
         let mut discovery = arriving.await.expect("it is read");
-        assert!(discovery.hear().await.contains("?from=2&"), "the list was read to its end");
+        assert!(discovery.receive().await.contains("?from=2&"), "the list was read to its end");
     });
 }
 
@@ -96,52 +99,52 @@
 /// until the next call, which does not wait, has confirmed it.
 #[test]
 fn a_list_that_keeps_coming_is_never_given_up() {
-    story(|sidecar| async move {
-        let mut discovery = next(&sidecar.discovery).await;
-        discovery.hear().await;
+    with_sidecar(|sidecar| async move {
+        let mut discovery = accept(&sidecar.discovery).await;
+        discovery.receive().await;
         let list = long_list(&sidecar, 2, "up");
         let mut discovery = drip(discovery, list, 125, 50 * MS).await;
-        assert!(discovery.hear().await.contains("?from=2&hold_ms=0 "), "the list was taken");
+        assert!(discovery.receive().await.contains("?from=2&hold_ms=0 "), "the list was taken");
         assert_eq!(sidecar.counters.discovery_calls.get(), 2);
-        assert!(!reaches(&sidecar).await);
-        discovery.say(&whole(&changes(2, ""))).await;
-        assert!(discovery.hear().await.contains("?from=2&"));
-        assert!(reaches(&sidecar).await);
+        assert!(!is_served(&sidecar).await);
+        discovery.send(&whole(&changes(2, ""))).await;
+        assert!(discovery.receive().await.contains("?from=2&"));
+        assert!(is_served(&sidecar).await);
     });
 }
 
 /// The same where lists are pushed: the agent answers at once, and its list may take its time.
 #[test]
 fn a_long_list_of_an_agent_is_read_to_its_end() {
-    story_with(pushed, |sidecar| async move {
-        let mut agent = next(&sidecar.discovery).await;
-        agent.hear().await;
+    with_sidecar_config(with_pushed_lists, |sidecar| async move {
+        let mut agent = accept(&sidecar.discovery).await;
+        agent.receive().await;
         let list = long_list(&sidecar, 2, "draining");
         let mut agent = drip(agent, list, 30, 30 * MS).await;
-        assert!(agent.hear().await.contains("?from=2&"), "the list was taken");
+        assert!(agent.receive().await.contains("?from=2&"), "the list was taken");
         assert_eq!(sidecar.counters.discovery_silent.get(), 0);
-        assert!(!reaches(&sidecar).await);
+        assert!(!is_served(&sidecar).await);
     });
 }
 
 /// A list pauses: the rest is asked for beside it, what came binds, and the list may go on.
 #[test]
 fn a_list_that_pauses_is_asked_for_once_more_and_may_still_go_on() {
-    story(|sidecar| async move {
-        let mut slow = next(&sidecar.discovery).await;
-        slow.hear().await;
+    with_sidecar(|sidecar| async move {
+        let mut slow = accept(&sidecar.discovery).await;
+        slow.receive().await;
         let list = long_list(&sidecar, 2, "draining");
         let (first, rest) = list.split_at(list.len() / 2);
-        slow.say(&head(Framing::Length, &list)).await;
-        slow.say(first).await;
-        let mut second = next(&sidecar.discovery).await;
-        assert!(second.hear().await.contains("?from=1&hold_ms=0 "), "what is owed is asked for at once");
-        assert!(!reaches(&sidecar).await);
-        slow.say(rest).await;
+        slow.send(&head(Framing::Length, &list)).await;
+        slow.send(first).await;
+        let mut second = accept(&sidecar.discovery).await;
+        assert!(second.receive().await.contains("?from=1&hold_ms=0 "), "what is owed is asked for at once");
+        assert!(!is_served(&sidecar).await);
+        slow.send(rest).await;
         Tokio.sleep(50 * MS).await;
-        second.say(&whole(&changes(2, ""))).await;
-        assert!(second.hear().await.contains("?from=2&"), "the list that went on was taken");
-        assert!(!reaches(&sidecar).await);
+        second.send(&whole(&changes(2, ""))).await;
+        assert!(second.receive().await.contains("?from=2&"), "the list that went on was taken");
+        assert!(!is_served(&sidecar).await);
         let counters = &sidecar.counters;
         assert_eq!((counters.discovery_calls.get(), counters.discovery_bad.get()), (3, 0));
     });
@@ -152,11 +155,11 @@
 fn of_a_list_that_breaks_off_the_drains_bind_whatever_its_framing() {
     for framing in [Framing::Length, Framing::Chunked] {
         for reset in [false, true] {
-            story(|sidecar| async move {
-                let mut discovery = next(&sidecar.discovery).await;
-                discovery.hear().await;
+            with_sidecar(|sidecar| async move {
+                let mut discovery = accept(&sidecar.discovery).await;
+                discovery.receive().await;
                 let list = long_list(&sidecar, 2, "draining");
-                discovery.say(&head(framing, &list)).await;
+                discovery.send(&head(framing, &list)).await;
                 write(&mut discovery, framing, &list[..list.len() / 3]).await;
                 Tokio.sleep(20 * MS).await;
                 if reset {
@@ -164,9 +167,9 @@
                 } else {
                     drop(discovery)
                 }
-                let mut again = next(&sidecar.discovery).await;
-                assert!(again.hear().await.contains("?from=1&hold_ms=0 "), "the rest is owed");
-                assert!(!reaches(&sidecar).await, "{framing:?}, reset: {reset}");
+                let mut again = accept(&sidecar.discovery).await;
+                assert!(again.receive().await.contains("?from=1&hold_ms=0 "), "the rest is owed");
+                assert!(!is_served(&sidecar).await, "{framing:?}, reset: {reset}");
             });
         }
     }
@@ -175,34 +178,34 @@
 /// A list that stops for good is given up; what came of it binds.
 #[test]
 fn of_a_list_that_stops_the_drains_bind_when_its_call_is_given_up() {
-    story(|sidecar| async move {
-        let mut discovery = next(&sidecar.discovery).await;
-        discovery.hear().await;
+    with_sidecar(|sidecar| async move {
+        let mut discovery = accept(&sidecar.discovery).await;
+        discovery.receive().await;
         let list = long_list(&sidecar, 2, "draining");
-        discovery.say(&head(Framing::Chunked, &list)).await;
+        discovery.send(&head(Framing::Chunked, &list)).await;
         write(&mut discovery, Framing::Chunked, &list[..list.len() / 3]).await;
-        let mut second = next(&sidecar.discovery).await;
-        second.hear().await;
-        assert_eq!(discovery.hear().await, "", "the first call is given up");
-        assert!(!reaches(&sidecar).await);
+        let mut second = accept(&sidecar.discovery).await;
+        second.receive().await;
+        assert_eq!(discovery.receive().await, "", "the first call is given up");
+        assert!(!is_served(&sidecar).await);
     });
 }
 
 /// A new configuration moves discovery while a list arrives: its call is dropped, and what came of the list binds.
 #[test]
 fn of_a_list_that_arrives_as_discovery_moves_the_drains_bind() {
-    story(|sidecar| async move {
-        let mut discovery = next(&sidecar.discovery).await;
-        discovery.hear().await;
+    with_sidecar(|sidecar| async move {
+        let mut discovery = accept(&sidecar.discovery).await;
+        discovery.receive().await;
         let list = long_list(&sidecar, 2, "draining");
         let arriving = tokio::task::spawn_local(drip(discovery, list, 100, 30 * MS));
         Tokio.sleep(60 * MS).await;
         let elsewhere = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         move_to(&sidecar, &elsewhere);
-        let mut moved = next(&elsewhere).await;
-        assert!(moved.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"), "the whole list");
+        let mut moved = accept(&elsewhere).await;
+        assert!(moved.receive().await.starts_with("GET /discovery/hosts HTTP/1.1"), "the whole list");
         arriving.abort();
-        assert!(!reaches(&sidecar).await, "it was told");
+        assert!(!is_served(&sidecar).await, "it was told");
     });
 }
 
@@ -211,29 +214,29 @@
 #[test]
 fn of_a_list_that_lies_unread_as_discovery_moves_the_drains_bind() {
     for left_out in [false, true] {
-        story(move |sidecar| async move {
-            let mut discovery = next(&sidecar.discovery).await;
-            discovery.hear().await;
+        with_sidecar(move |sidecar| async move {
+            let mut discovery = accept(&sidecar.discovery).await;
+            discovery.receive().await;
             let elsewhere = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let list = match left_out {
                 true => r#"{"index":2,"snapshot":true,"endpoints":[]}"#.to_owned(),
-                false => changes(2, &row(&sidecar, "draining")),
+                false => changes(2, &endpoint_entry(&sidecar, "draining")),
             };
             // No other task runs between the two.
-            discovery.say(&whole(&list)).await;
+            discovery.send(&whole(&list)).await;
             move_to(&sidecar, &elsewhere);
-            let mut moved = next(&elsewhere).await;
-            assert!(moved.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"), "the whole list");
-            assert!(!reaches(&sidecar).await, "it was told");
+            let mut moved = accept(&elsewhere).await;
+            assert!(moved.receive().await.starts_with("GET /discovery/hosts HTTP/1.1"), "the whole list");
+            assert!(!is_served(&sidecar).await, "it was told");
             // What the old address barred is open again by the list of the new one, whatever its version.
             moved
-                .say(&whole(&format!(
+                .send(&whole(&format!(
                     r#"{{"index":1,"snapshot":true,"endpoints":[{}]}}"#,
-                    row(&sidecar, "up")
+                    endpoint_entry(&sidecar, "up")
                 )))
                 .await;
-            moved.hear().await;
-            assert!(reaches(&sidecar).await, "left out: {left_out}");
+            moved.receive().await;
+            assert!(is_served(&sidecar).await, "left out: {left_out}");
         });
     }
 }
@@ -243,21 +246,21 @@
 #[test]
 fn of_a_list_that_is_on_its_way_as_discovery_moves_the_drains_bind() {
     for framing in [Framing::Length, Framing::Chunked] {
-        story(move |sidecar| async move {
-            let mut discovery = next(&sidecar.discovery).await;
-            discovery.hear().await;
+        with_sidecar(move |sidecar| async move {
+            let mut discovery = accept(&sidecar.discovery).await;
+            discovery.receive().await;
             let elsewhere = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let list = changes(2, &row(&sidecar, "draining"));
+            let list = changes(2, &endpoint_entry(&sidecar, "draining"));
             let (first, rest) = list.split_at(list.len() / 3);
-            discovery.say(&head(framing, &list)).await;
+            discovery.send(&head(framing, &list)).await;
             write(&mut discovery, framing, first).await;
             Tokio.sleep(20 * MS).await;
             move_to(&sidecar, &elsewhere);
-            let mut moved = next(&elsewhere).await;
-            assert!(moved.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"), "the whole list");
+            let mut moved = accept(&elsewhere).await;
+            assert!(moved.receive().await.starts_with("GET /discovery/hosts HTTP/1.1"), "the whole list");
             write(&mut discovery, framing, rest).await;
             Tokio.sleep(20 * MS).await;
-            assert!(!reaches(&sidecar).await, "{framing:?}: it was told");
+            assert!(!is_served(&sidecar).await, "{framing:?}: it was told");
         });
     }
 }
@@ -267,17 +270,17 @@
 #[test]
 fn of_a_list_that_has_just_been_read_as_discovery_moves_what_it_leaves_out_is_barred() {
     for turns in 0..12 {
-        story(move |sidecar| async move {
-            let mut discovery = next(&sidecar.discovery).await;
-            discovery.hear().await;
+        with_sidecar(move |sidecar| async move {
+            let mut discovery = accept(&sidecar.discovery).await;
+            discovery.receive().await;
             let elsewhere = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            discovery.say(&whole(r#"{"index":2,"snapshot":true,"endpoints":[]}"#)).await;
+            discovery.send(&whole(r#"{"index":2,"snapshot":true,"endpoints":[]}"#)).await;
             for _ in 0..turns {
                 tokio::task::yield_now().await;
             }
             move_to(&sidecar, &elsewhere);
-            next(&elsewhere).await.hear().await;
-            assert!(!reaches(&sidecar).await, "it was told, {turns} turns before the move");
+            accept(&elsewhere).await.receive().await;
+            assert!(!is_served(&sidecar).await, "it was told, {turns} turns before the move");
         });
     }
 }
@@ -286,28 +289,28 @@
 /// whole behind it, does not open what the newer one barred.
 #[test]
 fn after_a_move_an_older_list_does_not_open_what_a_newer_one_barred() {
-    story(|sidecar| async move {
-        next(&sidecar.discovery).await.hear().await;
+    with_sidecar(|sidecar| async move {
+        accept(&sidecar.discovery).await.receive().await;
         let elsewhere = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         move_to(&sidecar, &elsewhere);
-        let mut older = next(&elsewhere).await;
-        older.hear().await;
+        let mut older = accept(&elsewhere).await;
+        older.receive().await;
         let list = long_list(&sidecar, 29, "up");
         let (first, rest) = list.split_at(list.len() / 2);
-        older.say(&head(Framing::Length, &list)).await;
-        older.say(first).await;
-        let mut newer = next(&elsewhere).await;
-        newer.hear().await;
+        older.send(&head(Framing::Length, &list)).await;
+        older.send(first).await;
+        let mut newer = accept(&elsewhere).await;
+        newer.receive().await;
         let list = long_list(&sidecar, 30, "draining");
-        newer.say(&head(Framing::Length, &list)).await;
-        newer.say(&list[..list.len() / 2]).await;
+        newer.send(&head(Framing::Length, &list)).await;
+        newer.send(&list[..list.len() / 2]).await;
         Tokio.sleep(20 * MS).await;
-        older.say(rest).await;
-        assert!(older.hear().await.contains("?from=29&"));
-        assert!(!reaches(&sidecar).await, "version 30 barred it");
-        older.say(&whole(&changes(30, &row(&sidecar, "up")))).await;
-        assert!(older.hear().await.contains("?from=30&"));
-        assert!(reaches(&sidecar).await);
+        older.send(rest).await;
+        assert!(older.receive().await.contains("?from=29&"));
+        assert!(!is_served(&sidecar).await, "version 30 barred it");
+        older.send(&whole(&changes(30, &endpoint_entry(&sidecar, "up")))).await;
+        assert!(older.receive().await.contains("?from=30&"));
+        assert!(is_served(&sidecar).await);
     });
 }
 
@@ -316,15 +319,15 @@
 fn a_record_that_cannot_be_read_hides_no_drain() {
     for odd in ["{\"name\":\"odd\",\"address\":\"127.0.0.1:1\",\"status\":\"odd\"}", "7", "{\"name\":{}}"] {
         for before in [false, true] {
-            story(|sidecar| async move {
-                let mut discovery = next(&sidecar.discovery).await;
-                discovery.hear().await;
-                let own = row(&sidecar, "draining");
+            with_sidecar(|sidecar| async move {
+                let mut discovery = accept(&sidecar.discovery).await;
+                discovery.receive().await;
+                let own = endpoint_entry(&sidecar, "draining");
                 let rows = if before { format!("{odd},{own}") } else { format!("{own},{odd}") };
-                discovery.say(&whole(&changes(2, &rows))).await;
-                let mut again = next(&sidecar.discovery).await;
-                assert!(again.hear().await.contains("?from=1&"), "it is asked for again");
-                assert!(!reaches(&sidecar).await, "{odd}, first: {before}");
+                discovery.send(&whole(&changes(2, &rows))).await;
+                let mut again = accept(&sidecar.discovery).await;
+                assert!(again.receive().await.contains("?from=1&"), "it is asked for again");
+                assert!(!is_served(&sidecar).await, "{odd}, first: {before}");
                 assert_eq!(sidecar.counters.discovery_bad.get(), 1);
             });
         }
@@ -335,22 +338,22 @@
 #[test]
 fn an_older_answer_does_not_open_what_a_newer_list_barred_before_it_broke_off() {
     for status in ["draining", "removed"] {
-        story(|sidecar| async move {
-            let mut broken = next(&sidecar.discovery).await;
-            broken.hear().await;
-            let list = changes(9, &row(&sidecar, status));
-            broken.say(&head(Framing::Length, &list)).await;
-            broken.say(&list[..list.len() - 1]).await;
+        with_sidecar(|sidecar| async move {
+            let mut broken = accept(&sidecar.discovery).await;
+            broken.receive().await;
+            let list = changes(9, &endpoint_entry(&sidecar, status));
+            broken.send(&head(Framing::Length, &list)).await;
+            broken.send(&list[..list.len() - 1]).await;
             Tokio.sleep(20 * MS).await;
             broken.reset();
-            let mut older = next(&sidecar.discovery).await;
-            older.hear().await;
-            older.say(&whole(&changes(8, &row(&sidecar, "up")).replace("false", "true"))).await;
-            assert!(older.hear().await.contains("?from=8&"));
-            assert!(!reaches(&sidecar).await, "{status}");
-            older.say(&whole(&changes(9, &row(&sidecar, "up")))).await;
-            assert!(older.hear().await.contains("?from=9&"));
-            assert!(reaches(&sidecar).await, "the list itself, whole, opens it");
+            let mut older = accept(&sidecar.discovery).await;
+            older.receive().await;
+            older.send(&whole(&changes(8, &endpoint_entry(&sidecar, "up")).replace("false", "true"))).await;
+            assert!(older.receive().await.contains("?from=8&"));
+            assert!(!is_served(&sidecar).await, "{status}");
+            older.send(&whole(&changes(9, &endpoint_entry(&sidecar, "up")))).await;
+            assert!(older.receive().await.contains("?from=9&"));
+            assert!(is_served(&sidecar).await, "the list itself, whole, opens it");
         });
     }
 }
@@ -360,20 +363,20 @@
 #[test]
 fn a_known_drain_bars_at_once_however_short_its_grace() {
     let short_grace = |text: String| {
-        slow_dials(text).replace("\"drain-grace-ns\":250000000", "\"drain-grace-ns\":100000000")
+        with_slow_connects(text).replace("\"drain-grace-ns\":250000000", "\"drain-grace-ns\":100000000")
     };
-    story_with(short_grace, |sidecar| async move {
-        let mut discovery = watch(&sidecar).await;
-        sidecar.gates.shut(sidecar.server());
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
-        sidecar.gates.waits().await;
-        discovery.say(&whole(&changes(2, &row(&sidecar, "draining")))).await;
-        assert!(discovery.hear().await.contains("?from=2&"));
-        sidecar.gates.open(sidecar.server());
-        let mut server = next(&sidecar.backend).await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 503"));
-        assert_eq!(server.hear().await, "", "not a byte");
+    with_sidecar_config(short_grace, |sidecar| async move {
+        let mut discovery = open_watch(&sidecar).await;
+        sidecar.gates.block(sidecar.endpoint_address());
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
+        sidecar.gates.wait_until_blocked().await;
+        discovery.send(&whole(&changes(2, &endpoint_entry(&sidecar, "draining")))).await;
+        assert!(discovery.receive().await.contains("?from=2&"));
+        sidecar.gates.unblock(sidecar.endpoint_address());
+        let mut server = accept(&sidecar.endpoint).await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 503"));
+        assert_eq!(server.receive().await, "", "not a byte");
         assert_eq!(sidecar.counters.dispatch_barred.get(), 1);
     });
 }
@@ -381,18 +384,19 @@
 /// An endpoint moves while a connection to its old address is made: nothing is sent to the old one.
 #[test]
 fn nothing_is_sent_to_the_old_address_of_an_endpoint_that_moved() {
-    story_with(slow_dials, |sidecar| async move {
-        let mut discovery = watch(&sidecar).await;
-        sidecar.gates.shut(sidecar.server());
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
-        sidecar.gates.waits().await;
-        let elsewhere = row(&sidecar, "up").replace(&sidecar.server().to_string(), "127.0.0.1:1");
-        discovery.say(&whole(&changes(2, &elsewhere))).await;
-        assert!(discovery.hear().await.contains("?from=2&"));
-        sidecar.gates.open(sidecar.server());
-        let mut old = next(&sidecar.backend).await;
-        assert_eq!(old.hear().await, "", "not a byte");
-        client.hear().await;
+    with_sidecar_config(with_slow_connects, |sidecar| async move {
+        let mut discovery = open_watch(&sidecar).await;
+        sidecar.gates.block(sidecar.endpoint_address());
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
+        sidecar.gates.wait_until_blocked().await;
+        let elsewhere =
+            endpoint_entry(&sidecar, "up").replace(&sidecar.endpoint_address().to_string(), "127.0.0.1:1");
+        discovery.send(&whole(&changes(2, &elsewhere))).await;
+        assert!(discovery.receive().await.contains("?from=2&"));
+        sidecar.gates.unblock(sidecar.endpoint_address());
+        let mut old = accept(&sidecar.endpoint).await;
+        assert_eq!(old.receive().await, "", "not a byte");
+        client.receive().await;
     });
 }
--- a/crates/sidecar/tests/loopback.rs
+++ b/crates/sidecar/tests/loopback.rs
@@ -5,51 +5,54 @@
 
 use cometcroft_platform::{Platform, Tokio};
 use cometcroft_sidecar::config::Config;
-use common::story::{BOOK, PLAN, Peer, Sidecar, confirm_all, confirmed_story, next, rest, story};
+use common::in_process::{
+    BOOK_REQUEST, PLAN_REQUEST, Sidecar, TestConnection, accept, confirm_all_calls, wait_until_reusable,
+    with_confirmed_sidecar, with_sidecar,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
 #[test]
 fn a_request_goes_through_and_its_connections_are_kept() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 200"));
-        client.say(PLAN).await;
-        let mut server = next(&sidecar.backend).await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 200"));
+        client.send(PLAN_REQUEST).await;
+        let mut server = accept(&sidecar.endpoint).await;
         for body in ["one", "two"] {
-            let request = server.hear().await;
+            let request = server.receive().await;
             assert!(request.starts_with("GET /plan/1 HTTP/1.1\r\n") && request.contains("X-Call-Id: 1\r\n"));
-            server.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{body}")).await;
-            let answer = client.hear().await;
+            server.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{body}")).await;
+            let answer = client.receive().await;
             assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with(body), "{answer}");
-            rest().await;
-            client.say(PLAN).await;
+            wait_until_reusable().await;
+            client.send(PLAN_REQUEST).await;
         }
         assert_eq!((sidecar.counters.backend_connections.get(), sidecar.counters.served.get()), (1, 2));
-        client.say("").await;
+        client.send("").await;
     });
 }
 
 #[test]
 fn a_connection_that_was_closed_is_not_used_again() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
         // What follows an answer unasked makes a connection as useless as its end does.
         for after in ["", "HTTP/1.1 408 Late\r\n\r\n"] {
-            client.say(BOOK).await;
-            let mut server = next(&sidecar.backend).await;
-            assert!(server.hear().await.ends_with("\r\n\r\nhi"));
-            server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-            assert!(client.hear().await.starts_with("HTTP/1.1 200"));
-            server.say(after).await;
+            client.send(BOOK_REQUEST).await;
+            let mut server = accept(&sidecar.endpoint).await;
+            assert!(server.receive().await.ends_with("\r\n\r\nhi"));
+            server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+            assert!(client.receive().await.starts_with("HTTP/1.1 200"));
+            server.send(after).await;
             if after.is_empty() {
                 drop(server);
             }
-            rest().await;
+            wait_until_reusable().await;
         }
-        client.say(BOOK).await;
-        assert!(next(&sidecar.backend).await.hear().await.contains("/book"));
+        client.send(BOOK_REQUEST).await;
+        assert!(accept(&sidecar.endpoint).await.receive().await.contains("/book"));
         assert_eq!((sidecar.counters.dispatch_reset.get(), sidecar.counters.backend_reused.get()), (0, 0));
         assert_eq!(sidecar.counters.backend_stale.get(), 2);
     });
@@ -57,14 +60,14 @@
 
 #[test]
 fn a_truncated_answer_is_a_reset_and_an_unsafe_request_fails_at_once() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say(BOOK).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf").await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(BOOK_REQUEST).await;
+        let mut server = accept(&sidecar.endpoint).await;
+        server.receive().await;
+        server.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf").await;
         drop(server);
-        let answer = client.hear().await;
+        let answer = client.receive().await;
         assert!(answer.starts_with("HTTP/1.1 502") && !answer.contains("half"), "{answer}");
         assert_eq!((sidecar.counters.dispatch_reset.get(), sidecar.counters.dispatches.get()), (1, 1));
     });
@@ -72,20 +75,20 @@
 
 #[test]
 fn a_spoilt_answer_is_an_error_that_ends_its_connection_and_a_safe_request_goes_again() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
         // The first promises more than comes, and its connection stays open.
         for spoilt in ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "\u{2}noise without an end"] {
-            let mut server = next(&sidecar.backend).await;
-            server.hear().await;
-            server.say(spoilt).await;
-            assert_eq!(server.hear().await, "", "the connection is closed");
+            let mut server = accept(&sidecar.endpoint).await;
+            server.receive().await;
+            server.send(spoilt).await;
+            assert_eq!(server.receive().await, "", "the connection is closed");
         }
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole").await;
-        let answer = client.hear().await;
+        let mut server = accept(&sidecar.endpoint).await;
+        server.receive().await;
+        server.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole").await;
+        let answer = client.receive().await;
         assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("whole"), "{answer}");
         let counters = &sidecar.counters;
         assert_eq!((counters.dispatch_error.get(), counters.answers_spoilt.get()), (2, 2));
@@ -94,38 +97,38 @@
 
 #[test]
 fn who_is_turned_away_everywhere_is_denied_with_advice() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say(BOOK).await;
-        let mut server = next(&sidecar.backend).await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(BOOK_REQUEST).await;
+        let mut server = accept(&sidecar.endpoint).await;
         for further in [true, true, false] {
-            server.hear().await;
-            server.say("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n").await;
+            server.receive().await;
+            server.send("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n").await;
             if further {
-                server = next(&sidecar.backend).await;
+                server = accept(&sidecar.endpoint).await;
             }
         }
-        let answer = client.hear().await;
+        let answer = client.receive().await;
         assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("\r\nRetry-After: "), "{answer}");
     });
 }
 
 #[test]
 fn a_client_that_leaves_takes_its_dispatch_along() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
+        let mut server = accept(&sidecar.endpoint).await;
+        server.receive().await;
         drop(client);
-        assert_eq!(server.hear().await, "", "its connection is closed");
+        assert_eq!(server.receive().await, "", "its connection is closed");
         assert_eq!((sidecar.counters.withdrawn.get(), sidecar.counters.dispatch_cancelled.get()), (1, 1));
     });
 }
 
 #[test]
 fn what_can_not_be_a_request_is_never_dispatched() {
-    story(|sidecar| async move {
+    with_sidecar(|sidecar| async move {
         let head = "X-Call-Id: 1\r\nX-Budget: 100m\r\n";
         for (line, head, status) in [
             ("GET /plan HTTP/1.1", "X-Budget: 100m\r\n", 400),
@@ -143,12 +146,12 @@
             ("GET /plan HTTP/1.1", "X-Call-Id: a b\r\nX-Budget: 9m\r\n", 400),
             ("plan", head, 400),
         ] {
-            let mut client = Peer::to(&sidecar).await;
-            client.say(&format!("{line}\r\n{head}\r\n")).await;
-            let answer = client.hear().await;
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send(&format!("{line}\r\n{head}\r\n")).await;
+            let answer = client.receive().await;
             assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{line}: {answer}");
             assert!(answer.contains("Connection: close\r\n"));
-            assert_eq!(client.hear().await, "", "the connection is closed");
+            assert_eq!(client.receive().await, "", "the connection is closed");
         }
         assert_eq!((sidecar.counters.bad_requests.get(), sidecar.counters.sessions.get()), (14, 0));
     });
@@ -156,119 +159,120 @@
 
 #[test]
 fn an_id_that_is_open_is_refused_until_it_is_answered() {
-    confirmed_story(|sidecar| async move {
-        let (mut client, mut other) = (Peer::to(&sidecar).await, Peer::to(&sidecar).await);
-        client.say(PLAN).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        other.say(PLAN).await;
-        assert!(other.hear().await.starts_with("HTTP/1.1 400 "));
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 200 "));
-        client.say(PLAN).await;
-        assert!(next(&sidecar.backend).await.hear().await.contains("/plan"));
+    with_confirmed_sidecar(|sidecar| async move {
+        let (mut client, mut other) =
+            (TestConnection::to(&sidecar).await, TestConnection::to(&sidecar).await);
+        client.send(PLAN_REQUEST).await;
+        let mut server = accept(&sidecar.endpoint).await;
+        server.receive().await;
+        other.send(PLAN_REQUEST).await;
+        assert!(other.receive().await.starts_with("HTTP/1.1 400 "));
+        server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 200 "));
+        client.send(PLAN_REQUEST).await;
+        assert!(accept(&sidecar.endpoint).await.receive().await.contains("/plan"));
         assert_eq!((sidecar.counters.repeated_ids.get(), sidecar.counters.sessions.get()), (1, 2));
     });
 }
 
 #[test]
 fn who_says_nothing_or_half_of_it_is_let_go_and_makes_room_before_who_is_served() {
-    confirmed_story(|sidecar| async move {
-        let (mut served, mut half) = (Peer::to(&sidecar).await, Peer::to(&sidecar).await);
-        served.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(served.hear().await.starts_with("HTTP/1.1 200"));
-        half.say("GET /plan HTTP/1.1\r\nX-Call").await;
-        let mut mute = Peer::to(&sidecar).await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let (mut served, mut half) = (TestConnection::to(&sidecar).await, TestConnection::to(&sidecar).await);
+        served.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(served.receive().await.starts_with("HTTP/1.1 200"));
+        half.send("GET /plan HTTP/1.1\r\nX-Call").await;
+        let mut mute = TestConnection::to(&sidecar).await;
         let mut crowd = Vec::new();
         for _ in 0..110 {
-            crowd.push(Peer::to(&sidecar).await);
+            crowd.push(TestConnection::to(&sidecar).await);
         }
         // All of these have been slow by the time that more come than there is room for.
         Tokio.sleep(std::time::Duration::from_millis(400)).await;
         for _ in 0..60 {
-            crowd.push(Peer::to(&sidecar).await);
+            crowd.push(TestConnection::to(&sidecar).await);
         }
-        assert_eq!(half.hear().await, "", "the first to make room");
-        assert_eq!(mute.hear().await, "", "and the next");
-        served.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(served.hear().await.starts_with("HTTP/1.1 200"));
-        let (mut half, mut mute) = (Peer::to(&sidecar).await, crowd.pop().expect("one of them"));
-        half.say("POST /book HTTP/1.1\r\nX-Call").await;
-        assert_eq!(mute.hear().await, "", "let go without a word");
-        assert!(half.hear().await.starts_with("HTTP/1.1 408 "));
+        assert_eq!(half.receive().await, "", "the first to make room");
+        assert_eq!(mute.receive().await, "", "and the next");
+        served.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(served.receive().await.starts_with("HTTP/1.1 200"));
+        let (mut half, mut mute) = (TestConnection::to(&sidecar).await, crowd.pop().expect("one of them"));
+        half.send("POST /book HTTP/1.1\r\nX-Call").await;
+        assert_eq!(mute.receive().await, "", "let go without a word");
+        assert!(half.receive().await.starts_with("HTTP/1.1 408 "));
         assert!(sidecar.counters.frontend_mute.get() >= 2);
-        served.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(served.hear().await.starts_with("HTTP/1.1 200"), "who has been served may be idle");
+        served.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(served.receive().await.starts_with("HTTP/1.1 200"), "who has been served may be idle");
     });
 }
 
 #[test]
 fn a_bad_list_is_counted_and_the_last_one_kept() {
-    story(|sidecar| async move {
-        let mut discovery = next(&sidecar.discovery).await;
-        assert!(discovery.hear().await.starts_with("GET /discovery/hosts?from=1&hold_ms="));
-        discovery.say("HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"index\":true").await;
+    with_sidecar(|sidecar| async move {
+        let mut discovery = accept(&sidecar.discovery).await;
+        assert!(discovery.receive().await.starts_with("GET /discovery/hosts?from=1&hold_ms="));
+        discovery.send("HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"index\":true").await;
         // It is asked for again; a list that can be read is followed by the next call at once.
-        let mut discovery = next(&sidecar.discovery).await;
-        assert!(discovery.hear().await.contains("?from=1&"));
+        let mut discovery = accept(&sidecar.discovery).await;
+        assert!(discovery.receive().await.contains("?from=1&"));
         assert_eq!(sidecar.counters.discovery_bad.get(), 1);
         let list = r#"{"index":7,"snapshot":false,"endpoints":[]}"#;
         let length = list.len();
-        discovery.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{list}")).await;
-        assert!(discovery.hear().await.contains("?from=7&"));
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
-        assert!(next(&sidecar.backend).await.hear().await.contains("/plan"));
+        discovery.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{list}")).await;
+        assert!(discovery.receive().await.contains("?from=7&"));
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
+        assert!(accept(&sidecar.endpoint).await.receive().await.contains("/plan"));
     });
 }
 
 /// What was written counts as told, so it binds; and the rest is owed, so no wait of the module's lies between.
 #[test]
 fn what_came_of_a_list_that_broke_off_binds_and_the_rest_is_asked_for_soon() {
-    story(|sidecar| async move {
+    with_sidecar(|sidecar| async move {
         let failures = || sidecar.counters.discovery_failures.get();
         for broken in 0..4 {
-            let mut discovery = next(&sidecar.discovery).await;
-            assert!(discovery.hear().await.starts_with("GET /discovery/hosts?from=1&hold_ms="));
+            let mut discovery = accept(&sidecar.discovery).await;
+            assert!(discovery.receive().await.starts_with("GET /discovery/hosts?from=1&hold_ms="));
             assert_eq!((sidecar.counters.discovery_stalled.get(), failures()), (broken.min(1), 0));
             // The one that paused is counted as bad too once it is given up.
             assert!((broken.saturating_sub(1)..=broken).contains(&sidecar.counters.discovery_bad.get()));
-            discovery.say("HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{\"endpoints\":[").await;
+            discovery.send("HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{\"endpoints\":[").await;
             if broken == 0 {
                 let row = r#"{"address":"127.0.0.1:9","name":"s","status":"draining","typ"#;
-                discovery.say(row).await;
+                discovery.send(row).await;
                 // It stays open and says no more.
                 std::mem::forget(discovery);
             }
         }
-        let mut discovery = next(&sidecar.discovery).await;
-        assert!(discovery.hear().await.starts_with("GET /discovery/hosts?from=1&hold_ms="));
+        let mut discovery = accept(&sidecar.discovery).await;
+        assert!(discovery.receive().await.starts_with("GET /discovery/hosts?from=1&hold_ms="));
         assert_eq!((sidecar.counters.discovery_stalled.get(), failures()), (1, 0));
         assert!((3..=4).contains(&sidecar.counters.discovery_bad.get()));
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 503"), "the only backend server drains");
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 503"), "the only backend server drains");
         assert_eq!(sidecar.counters.dispatches.get(), 0);
     });
 }
 
 #[test]
 fn a_refused_watch_is_not_repeated_and_a_closed_connection_is_no_failure() {
-    story(|sidecar| async move {
+    with_sidecar(|sidecar| async move {
         let list = r#"{"index":2,"snapshot":false,"endpoints":[]}"#;
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
-        let mut discovery = next(&sidecar.discovery).await;
-        discovery.hear().await;
-        discovery.say(&answer).await;
-        assert!(discovery.hear().await.contains("?from=2&"));
+        let mut discovery = accept(&sidecar.discovery).await;
+        discovery.receive().await;
+        discovery.send(&answer).await;
+        assert!(discovery.receive().await.contains("?from=2&"));
         // The next answer says that the connection ends with it: the call after it comes on another.
-        discovery.say(&answer.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")).await;
-        let mut discovery = next(&sidecar.discovery).await;
-        discovery.hear().await;
+        discovery.send(&answer.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")).await;
+        let mut discovery = accept(&sidecar.discovery).await;
+        discovery.receive().await;
         assert_eq!(sidecar.counters.discovery_failures.get(), 0);
-        discovery.say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
-        let mut discovery = next(&sidecar.discovery).await;
-        assert!(discovery.hear().await.contains("?from=2&"));
+        discovery.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
+        let mut discovery = accept(&sidecar.discovery).await;
+        assert!(discovery.receive().await.contains("?from=2&"));
         assert_eq!(
             (sidecar.counters.discovery_failures.get(), sidecar.counters.discovery_calls.get()),
             (1, 4)
@@ -278,37 +282,37 @@
 
 #[test]
 fn discovery_that_moves_is_asked_for_the_whole_list_at_once() {
-    story(|sidecar| async move {
-        let mut old = next(&sidecar.discovery).await;
-        assert!(old.hear().await.contains("?from=1&"));
+    with_sidecar(|sidecar| async move {
+        let mut old = accept(&sidecar.discovery).await;
+        assert!(old.receive().await.contains("?from=1&"));
         let moved = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        sidecar.control.source.move_to(moved.local_addr().expect("an address"), &sidecar.settings);
-        let mut new = next(&moved).await;
-        assert!(new.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"));
-        assert_eq!(old.hear().await, "", "the old call is given up");
+        sidecar.reloader.discovery_source.move_to(moved.local_addr().expect("an address"), &sidecar.settings);
+        let mut new = accept(&moved).await;
+        assert!(new.receive().await.starts_with("GET /discovery/hosts HTTP/1.1"));
+        assert_eq!(old.receive().await, "", "the old call is given up");
         let list = r#"{"index":1,"snapshot":false,"endpoints":[]}"#;
-        new.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())).await;
-        assert!(new.hear().await.contains("?from=1&"));
+        new.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())).await;
+        assert!(new.receive().await.contains("?from=1&"));
         assert_eq!(sidecar.counters.discovery_failures.get(), 0);
         // The module waits out a failure; a move in that time is followed all the same.
         drop((new, moved));
         let again = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        sidecar.control.source.move_to(again.local_addr().expect("an address"), &sidecar.settings);
-        assert!(next(&again).await.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"));
+        sidecar.reloader.discovery_source.move_to(again.local_addr().expect("an address"), &sidecar.settings);
+        assert!(accept(&again).await.receive().await.starts_with("GET /discovery/hosts HTTP/1.1"));
     });
 }
 
 #[test]
 fn a_watch_that_falls_silent_is_asked_again_elsewhere_soon() {
-    story(|sidecar| async move {
-        let mut mute = next(&sidecar.discovery).await;
-        let call = mute.hear().await;
+    with_sidecar(|sidecar| async move {
+        let mut mute = accept(&sidecar.discovery).await;
+        let call = mute.receive().await;
         let hold = call.split("hold_ms=").nth(1).and_then(|rest| rest.split(' ').next()).expect("it waits");
         assert!(hold.parse::<u64>().expect("a time") <= 4000, "news counts as told 2 s after the wait");
-        let mut again = next(&sidecar.discovery).await;
+        let mut again = accept(&sidecar.discovery).await;
         // Whether there is news is owed, so it is told at once.
-        assert_eq!(again.hear().await, call.replace(&format!("hold_ms={hold} "), "hold_ms=0 "));
-        assert_eq!(mute.hear().await, "", "the silent one is closed");
+        assert_eq!(again.receive().await, call.replace(&format!("hold_ms={hold} "), "hold_ms=0 "));
+        assert_eq!(mute.receive().await, "", "the silent one is closed");
         let counters = &sidecar.counters;
         assert_eq!((counters.discovery_silent.get(), counters.discovery_failures.get()), (1, 0));
     });
@@ -329,10 +333,10 @@
     let any = || std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = |listener: &std::net::TcpListener| listener.local_addr().expect("an address").to_string();
     let (old, new) = (any(), any());
-    let listen = common::program::places(1)[0][0].to_string();
+    let listen = common::program::sidecar_addresses(1)[0][0].to_string();
     let path = std::env::temp_dir().join(format!("cometcroft-{}.json", std::process::id()));
     let file = |discovery: &str| {
-        std::fs::write(&path, common::config(&listen, discovery, "null")).expect("a file");
+        std::fs::write(&path, common::config_json(&listen, discovery, "null")).expect("a file");
     };
     file(&at(&old));
     let mut program = std::process::Command::new(env!("CARGO_BIN_EXE_cometcroft"))
@@ -360,18 +364,18 @@
 
 #[test]
 fn past_its_share_of_descriptors_the_longest_idle_client_makes_room() {
-    confirmed_story(|sidecar| async move {
+    with_confirmed_sidecar(|sidecar| async move {
         let mut clients = Vec::new();
         for _ in 0..150 {
-            let mut client = Peer::to(&sidecar).await;
-            client.say("GET /up HTTP/1.1\r\n\r\n").await;
-            assert!(client.hear().await.starts_with("HTTP/1.1 200"));
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send("GET /up HTTP/1.1\r\n\r\n").await;
+            assert!(client.receive().await.starts_with("HTTP/1.1 200"));
             clients.push(client);
         }
         assert!(sidecar.counters.frontend_evicted.get() >= 30, "256 descriptors leave 114 for clients");
-        assert_eq!(clients[0].hear().await, "", "the first one was closed");
-        clients[149].say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(clients[149].hear().await.starts_with("HTTP/1.1 200"));
+        assert_eq!(clients[0].receive().await, "", "the first one was closed");
+        clients[149].send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(clients[149].receive().await.starts_with("HTTP/1.1 200"));
     });
 }
 
@@ -388,41 +392,41 @@
 
 #[test]
 fn on_its_way_out_it_answers_all_and_takes_new_clients_for_a_while() {
-    confirmed_story(|sidecar| async move {
-        let (mut busy, mut idle) = (Peer::to(&sidecar).await, Peer::to(&sidecar).await);
-        idle.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(idle.hear().await.starts_with("HTTP/1.1 200"));
-        busy.say(BOOK).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        sidecar.life.begin();
-        idle.say("GET /up HTTP/1.1\r\n\r\n").await;
-        let answer = idle.hear().await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let (mut busy, mut idle) = (TestConnection::to(&sidecar).await, TestConnection::to(&sidecar).await);
+        idle.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(idle.receive().await.starts_with("HTTP/1.1 200"));
+        busy.send(BOOK_REQUEST).await;
+        let mut server = accept(&sidecar.endpoint).await;
+        server.receive().await;
+        sidecar.lifecycle.begin_shutdown();
+        idle.send("GET /up HTTP/1.1\r\n\r\n").await;
+        let answer = idle.receive().await;
         assert!(
             answer.starts_with("HTTP/1.1 503") && !answer.contains("close"),
             "not ready, but it serves on"
         );
-        let mut late = Peer::to(&sidecar).await;
-        late.say(&PLAN.replace(": 1", ": 3")).await;
-        let mut second = next(&sidecar.backend).await;
-        second.hear().await;
-        assert_eq!(idle.hear().await, "", "an idle connection is closed in the end");
+        let mut late = TestConnection::to(&sidecar).await;
+        late.send(&PLAN_REQUEST.replace(": 1", ": 3")).await;
+        let mut second = accept(&sidecar.endpoint).await;
+        second.receive().await;
+        assert_eq!(idle.receive().await, "", "an idle connection is closed in the end");
         for (server, client) in [(&mut second, &mut late), (&mut server, &mut busy)] {
-            assert!(!sidecar.ended.is_finished());
-            server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-            let answer = client.hear().await;
+            assert!(!sidecar.task.is_finished());
+            server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+            let answer = client.receive().await;
             assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("Connection: close"), "{answer}");
         }
-        sidecar.ended.await.expect("no panic").expect("a clean end");
+        sidecar.task.await.expect("no panic").expect("a clean end");
     });
 }
 
 /// A call of an operator: the whole answer.
 async fn operate(sidecar: &Sidecar, line: &str) -> String {
-    let mut peer = Peer(TcpStream::connect(&sidecar.ops).await.expect("it listens"));
-    peer.say(&format!("{line} HTTP/1.1\r\nHost: ops\r\n\r\n")).await;
-    let answer = peer.hear().await;
-    assert_eq!(peer.hear().await, "", "one call a connection");
+    let mut peer = TestConnection(TcpStream::connect(&sidecar.ops).await.expect("it listens"));
+    peer.send(&format!("{line} HTTP/1.1\r\nHost: ops\r\n\r\n")).await;
+    let answer = peer.receive().await;
+    assert_eq!(peer.receive().await, "", "one call a connection");
     answer
 }
 
@@ -433,11 +437,11 @@
 
 #[test]
 fn the_door_answers_operators_whoever_stands_in_it_and_its_figures_are_true() {
-    confirmed_story(|sidecar| async move {
+    with_confirmed_sidecar(|sidecar| async move {
         let mut crowd = Vec::new();
         for n in 0..40 {
-            let mut peer = Peer(TcpStream::connect(&sidecar.ops).await.expect("it listens"));
-            peer.say(["", "GET /ops/sta"][n % 2]).await;
+            let mut peer = TestConnection(TcpStream::connect(&sidecar.ops).await.expect("it listens"));
+            peer.send(["", "GET /ops/sta"][n % 2]).await;
             crowd.push(peer);
         }
         for (line, status) in [
@@ -453,127 +457,127 @@
             assert_eq!(answer.contains("Allow: "), status == 405);
         }
         let tally = |s: u64, r: u64, f: u64, a: u64| serde_json::json!({"fulfilled": s, "throttled": r, "faulted": f, "relayed": a});
-        let mut client = Peer::to(&sidecar).await;
+        let mut client = TestConnection::to(&sidecar).await;
         // Served at the second attempt, while it is open; then denied, failed, and left by its client.
-        client.say(PLAN).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+        client.send(PLAN_REQUEST).await;
+        let mut server = accept(&sidecar.endpoint).await;
+        server.receive().await;
         let figures = stats(&sidecar).await;
         assert_eq!((&figures["open_requests"], &figures["registry_entries"]), (&1.into(), &1.into()));
         assert_eq!(figures["operations"]["plan"], tally(0, 0, 0, 1));
-        server.say("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
-        rest().await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").await;
-        client.hear().await;
+        server.send("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+        wait_until_reusable().await;
+        let mut server = accept(&sidecar.endpoint).await;
+        server.receive().await;
+        server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").await;
+        client.receive().await;
         let figures = stats(&sidecar).await;
         assert_eq!(
             (&figures["operations"]["plan"], &figures["open_requests"]),
             (&tally(1, 0, 0, 2), &0.into())
         );
-        client.say(BOOK).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+        client.send(BOOK_REQUEST).await;
+        let mut server = accept(&sidecar.endpoint).await;
+        server.receive().await;
         drop(server);
-        assert!(client.hear().await.starts_with("HTTP/1.1 502"));
-        client.say(&BOOK.replace("30000m", "2m")).await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 503"));
-        client.say(PLAN).await;
-        next(&sidecar.backend).await.hear().await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 502"));
+        client.send(&BOOK_REQUEST.replace("30000m", "2m")).await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 503"));
+        client.send(PLAN_REQUEST).await;
+        accept(&sidecar.endpoint).await.receive().await;
         drop(client);
-        rest().await;
+        wait_until_reusable().await;
         let figures = stats(&sidecar).await;
         assert_eq!(figures["operations"]["book"], tally(0, 1, 1, 1));
         assert_eq!(figures["operations"]["plan"], tally(1, 0, 0, 3));
         assert_eq!(figures["operations"]["pay"], tally(0, 0, 0, 0));
         assert_eq!((&figures["open_requests"], &figures["relayed"]), (&0.into(), &4.into()));
         let mut first = crowd.swap_remove(0);
-        assert_eq!(first.hear().await, "", "the longest silent has made room");
+        assert_eq!(first.receive().await, "", "the longest silent has made room");
     });
 }
 
 #[test]
 fn a_drain_sends_clients_away_and_is_called_back() {
-    confirmed_story(|sidecar| async move {
-        let (mut idle, mut busy) = (Peer::to(&sidecar).await, Peer::to(&sidecar).await);
-        idle.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(idle.hear().await.starts_with("HTTP/1.1 200"));
-        busy.say(BOOK).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let (mut idle, mut busy) = (TestConnection::to(&sidecar).await, TestConnection::to(&sidecar).await);
+        idle.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(idle.receive().await.starts_with("HTTP/1.1 200"));
+        busy.send(BOOK_REQUEST).await;
+        let mut server = accept(&sidecar.endpoint).await;
+        server.receive().await;
         for _ in 0..2 {
             assert!(operate(&sidecar, "PUT /ops/drain/start").await.starts_with("HTTP/1.1 200"));
         }
         let began = Tokio.now();
         assert!(operate(&sidecar, "GET /ops/readiness").await.starts_with("HTTP/1.1 503"));
-        let mut late = Peer::to(&sidecar).await;
-        late.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(late.hear().await.starts_with("HTTP/1.1 503"), "it still takes who comes, and says no");
-        assert_eq!((idle.hear().await, late.hear().await), (String::new(), String::new()));
+        let mut late = TestConnection::to(&sidecar).await;
+        late.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(late.receive().await.starts_with("HTTP/1.1 503"), "it still takes who comes, and says no");
+        assert_eq!((idle.receive().await, late.receive().await), (String::new(), String::new()));
         let closed = Tokio.since(began);
         assert!(closed > std::time::Duration::from_millis(300) && closed < std::time::Duration::from_secs(2));
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-        let answer = busy.hear().await;
+        server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+        let answer = busy.receive().await;
         assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("Connection: close"), "{answer}");
         for _ in 0..2 {
             assert!(operate(&sidecar, "PUT /ops/drain/stop").await.starts_with("HTTP/1.1 200"));
         }
-        let mut back = Peer::to(&sidecar).await;
-        back.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(back.hear().await.starts_with("HTTP/1.1 200"));
+        let mut back = TestConnection::to(&sidecar).await;
+        back.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(back.receive().await.starts_with("HTTP/1.1 200"));
         Tokio.sleep(std::time::Duration::from_millis(1700)).await;
-        back.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(back.hear().await.starts_with("HTTP/1.1 200"), "it is kept, as before the drain");
+        back.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(back.receive().await.starts_with("HTTP/1.1 200"), "it is kept, as before the drain");
     });
 }
 
 #[test]
 fn what_is_under_way_keeps_its_class_while_new_settings_come() {
-    confirmed_story(|sidecar| async move {
+    with_confirmed_sidecar(|sidecar| async move {
         let text = |from: &str, to: &str| {
             let known = r#"{"index":1,"snapshot":true,"endpoints":[]}"#;
-            let good = common::config("127.0.0.1:0", "127.0.0.1:1", known);
+            let good = common::config_json("127.0.0.1:0", "127.0.0.1:1", known);
             assert!(good.contains(from));
             Config::parse(&good.replacen(from, to, 1), |_| None)
         };
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
+        let mut server = accept(&sidecar.endpoint).await;
+        server.receive().await;
         // From now on a plan must not run twice; the one that is out may, as it came before.
         let stricter = text("\"read_like\"", "\"non_idempotent\"");
-        sidecar.control.reload(stricter, &sidecar.counters).expect("whole");
-        rest().await;
-        server.say("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        server.say("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 200"));
+        sidecar.reloader.reload(stricter, &sidecar.counters).expect("whole");
+        wait_until_reusable().await;
+        server.send("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+        let mut server = accept(&sidecar.endpoint).await;
+        server.receive().await;
+        server.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 200"));
         // In the old form, but under the new effect.
-        client.say(PLAN).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        server.say("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 502"));
+        client.send(PLAN_REQUEST).await;
+        let mut server = accept(&sidecar.endpoint).await;
+        server.receive().await;
+        server.send("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 502"));
         // Fewer attempts bind from now on, and a bad file changes nothing.
         sidecar
-            .control
+            .reloader
             .reload(text("\"max-attempts\":3", "\"max-attempts\":1"), &sidecar.counters)
             .expect("whole");
         sidecar
-            .control
+            .reloader
             .reload(text("\"step-ns\"", "\"s\""), &sidecar.counters)
             .expect_err("a key is missing");
-        rest().await;
+        wait_until_reusable().await;
         let dispatches = sidecar.counters.dispatches.get();
-        client.say(&PLAN.replace("GET /plan", "GET /plan/x")).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+        client.send(&PLAN_REQUEST.replace("GET /plan", "GET /plan/x")).await;
+        let mut server = accept(&sidecar.endpoint).await;
+        server.receive().await;
         server
-            .say("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+            .send("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
             .await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 503"));
+        assert!(client.receive().await.starts_with("HTTP/1.1 503"));
         assert_eq!(sidecar.counters.dispatches.get(), dispatches + 1);
         let figures = stats(&sidecar).await;
         assert_eq!((&figures["cfg_accepted"], &figures["cfg_invalid"]), (&2.into(), &1.into()));
@@ -613,7 +617,7 @@
 
 #[test]
 fn a_large_answer_is_relayed_whole_or_visibly_cut_wherever_it_breaks() {
-    confirmed_story(|sidecar| async move {
+    with_confirmed_sidecar(|sidecar| async move {
         const LENGTH: usize = 300_000;
         for chunked in [false, true] {
             let all = long("HTTP/1.1 200 OK\r\nConnection: close\r\n", chunked, LENGTH, usize::MAX);
@@ -629,11 +633,11 @@
                 all.len(),
             ];
             for cut in cuts {
-                let mut client = Peer::to(&sidecar).await;
+                let mut client = TestConnection::to(&sidecar).await;
                 // One that must not run twice, so that each cut is one attempt.
-                client.say(&BOOK.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")).await;
-                let mut server = next(&sidecar.backend).await;
-                server.hear().await;
+                client.send(&BOOK_REQUEST.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")).await;
+                let mut server = accept(&sidecar.endpoint).await;
+                server.receive().await;
                 server.0.write_all(&all[..cut]).await.expect("it reads");
                 drop(server);
                 let mut text = Vec::new();
@@ -656,19 +660,19 @@
 
 #[test]
 fn an_answer_that_its_connection_ends_counts_where_its_head_says_so() {
-    confirmed_story(|sidecar| async move {
+    with_confirmed_sidecar(|sidecar| async move {
         for (head, served) in [
             ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", true),
             ("HTTP/1.0 200 OK\r\n\r\n", true),
             ("HTTP/1.1 200 OK\r\n\r\n", false),
         ] {
-            let mut client = Peer::to(&sidecar).await;
-            client.say(BOOK).await;
-            let mut server = next(&sidecar.backend).await;
-            server.hear().await;
-            server.say(&format!("{head}all of it")).await;
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send(BOOK_REQUEST).await;
+            let mut server = accept(&sidecar.endpoint).await;
+            server.receive().await;
+            server.send(&format!("{head}all of it")).await;
             drop(server);
-            let answer = client.hear().await;
+            let answer = client.receive().await;
             assert_eq!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("all of it"), served, "{head}");
         }
     });
@@ -679,36 +683,36 @@
 
 #[test]
 fn a_large_request_is_passed_on_as_it_comes_and_again_only_while_it_is_held() {
-    confirmed_story(|sidecar| async move {
+    with_confirmed_sidecar(|sidecar| async move {
         // Up to what is gathered it may be sent again, where the first try never ran.
         for (chunked, length) in [(false, 100_000), (true, 700_000)] {
-            let mut client = Peer::to(&sidecar).await;
+            let mut client = TestConnection::to(&sidecar).await;
             client.0.write_all(&long(LARGE, chunked, length, usize::MAX)).await.expect("it reads");
             for last in [false, true] {
-                let mut server = next(&sidecar.backend).await;
+                let mut server = accept(&sidecar.endpoint).await;
                 let (head, body) = hear_all(&mut server, length).await;
                 assert!(head.contains(&format!("Content-Length: {length}\r\n")), "{head}");
                 assert!(body.len() == length && body[length - 1] == b'a' + ((length - 1) % 23) as u8);
                 let answer = ["503 No\r\nX-Rejected: 1", "200 OK"][usize::from(last)];
                 let answer = format!("HTTP/1.1 {answer}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-                server.say(&answer).await;
+                server.send(&answer).await;
             }
-            assert!(client.hear().await.starts_with("HTTP/1.1 200"));
+            assert!(client.receive().await.starts_with("HTTP/1.1 200"));
         }
         // Beyond that it goes out while it comes, and only once.
         const LENGTH: usize = 3_000_000;
         for chunked in [false, true] {
             let all = long(LARGE, chunked, LENGTH, usize::MAX);
-            let mut client = Peer::to(&sidecar).await;
+            let mut client = TestConnection::to(&sidecar).await;
             let (first, second) = all.split_at(all.len() / 2);
             client.0.write_all(first).await.expect("it reads");
-            let mut server = next(&sidecar.backend).await;
+            let mut server = accept(&sidecar.endpoint).await;
             let (head, body) = hear_all(&mut server, 1 << 20).await;
             assert_eq!(head.contains("Transfer-Encoding: chunked"), chunked, "{head}");
             client.0.write_all(second).await.expect("it reads");
             hear_all(&mut server, LENGTH - body.len() - 200_000).await;
             drop(server);
-            let answer = client.hear().await;
+            let answer = client.receive().await;
             let (never_ran, failed) =
                 (answer.starts_with("HTTP/1.1 503"), answer.starts_with("HTTP/1.1 502"));
             assert!(never_ran || failed, "{chunked} {answer} {}", sidecar.counters.json());
@@ -716,26 +720,26 @@
         let dispatches = sidecar.counters.dispatches.get();
         assert!(dispatches <= 4 + 4, "{dispatches}: what is gone is not sent again");
         // One that stands still is ended, and its backend server never gets the end of it.
-        let mut client = Peer::to(&sidecar).await;
+        let mut client = TestConnection::to(&sidecar).await;
         client.0.write_all(&long(LARGE, false, LENGTH, LENGTH / 2)).await.expect("it reads");
-        let mut server = next(&sidecar.backend).await;
+        let mut server = accept(&sidecar.endpoint).await;
         hear_all(&mut server, 1 << 20).await;
         let began = Tokio.now();
-        let answer = client.hear().await;
+        let answer = client.receive().await;
         assert!(
             answer.starts_with("HTTP/1.1 408") && Tokio.since(began) < std::time::Duration::from_secs(3),
             "{answer}"
         );
         // What is no request of its class is turned away before its body has come.
-        let mut client = Peer::to(&sidecar).await;
+        let mut client = TestConnection::to(&sidecar).await;
         let other = long(&LARGE.replace("book", "other"), false, 9_000_000, usize::MAX);
         client.0.write_all(&other).await.expect("what comes is read, or the answer would be lost");
-        assert!(client.hear().await.starts_with("HTTP/1.1 400"));
+        assert!(client.receive().await.starts_with("HTTP/1.1 400"));
     });
 }
 
 /// A head, and at least so many bytes behind it; what frames them may be among them.
-async fn hear_all(peer: &mut Peer, least: usize) -> (String, Vec<u8>) {
+async fn hear_all(peer: &mut TestConnection, least: usize) -> (String, Vec<u8>) {
     let (mut text, mut at) = (Vec::new(), None);
     while at.is_none_or(|at| text.len() < at + least) {
         if peer.0.read_buf(&mut text).await.expect("bytes") == 0 {
@@ -750,25 +754,25 @@
 
 #[test]
 fn a_slow_client_has_its_time_for_a_head_and_then_for_a_body_that_goes_on_coming() {
-    story(|sidecar| async move {
-        let _discovery = confirm_all(&sidecar);
+    with_sidecar(|sidecar| async move {
+        let _discovery = confirm_all_calls(&sidecar);
         let pause = |ms| Tokio.sleep(std::time::Duration::from_millis(ms));
-        let mut client = Peer::to(&sidecar).await;
-        client.say("POST /book HTTP/1.1\r\nX-Call-Id: 2\r\n").await;
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send("POST /book HTTP/1.1\r\nX-Call-Id: 2\r\n").await;
         pause(2000).await;
-        client.say("X-Budget: 300m\r\nContent-Length: 3\r\n\r\n").await;
+        client.send("X-Budget: 300m\r\nContent-Length: 3\r\n\r\n").await;
         for byte in ["a", "b", "c"] {
             pause(500).await;
-            client.say(byte).await;
+            client.send(byte).await;
         }
         // Its budget runs from its last byte.
-        let mut server = next(&sidecar.backend).await;
-        assert!(server.hear().await.ends_with("\r\n\r\nabc"));
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 200"));
+        let mut server = accept(&sidecar.endpoint).await;
+        assert!(server.receive().await.ends_with("\r\n\r\nabc"));
+        server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 200"));
         let began = Tokio.now();
-        client.say("POST /book HTTP/1.1\r\nContent-Length: 3\r\n\r\na").await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 408"), "one that stands still is ended");
+        client.send("POST /book HTTP/1.1\r\nContent-Length: 3\r\n\r\na").await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 408"), "one that stands still is ended");
         assert!(Tokio.since(began) < std::time::Duration::from_secs(3));
     });
 }
--- a/crates/sidecar/tests/outer_names.rs
+++ b/crates/sidecar/tests/outer_names.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use cometcroft_sidecar::counters::Counters;
-use common::program::{Sidecar, ask, backend, discovery, places};
+use common::program::{SidecarProcess, send_raw, sidecar_addresses, start_discovery, start_endpoint};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -85,7 +85,7 @@
 
 /// Three voters of a plan and of a budget, and one sidecar more. The first door is asked.
 struct Fleet {
-    sidecars: Vec<Option<Sidecar>>,
+    sidecars: Vec<Option<SidecarProcess>>,
     ops: Vec<SocketAddr>,
     /// What the first door has answered.
     plans: Vec<Value>,
@@ -94,8 +94,8 @@
 
 impl Fleet {
     fn start() -> Fleet {
-        let servers: Vec<SocketAddr> = (0..2).map(|_| backend(Duration::ZERO, "", false).0).collect();
-        let (places, discovery) = (places(4), discovery(servers.clone()));
+        let servers: Vec<SocketAddr> = (0..2).map(|_| start_endpoint(Duration::ZERO, "", false).0).collect();
+        let (places, discovery) = (sidecar_addresses(4), start_discovery(servers.clone()));
         let voters: Vec<String> = places[..3].iter().map(|place| format!("\"{}\"", place[2])).collect();
         let voters = voters.join(", ");
         let sections = format!(
@@ -103,7 +103,7 @@
              lease = \"1s\"\n[[budget.whole]]\nuse = \"retries\"\nrate = 200\nburst = 200\n"
         );
         let start = |(i, place): (usize, &[SocketAddr; 3])| {
-            Some(Sidecar::begin(&format!("n{i}"), *place, &servers, discovery, false, &sections))
+            Some(SidecarProcess::start_at(&format!("n{i}"), *place, &servers, discovery, false, &sections))
         };
         let sidecars = places.iter().enumerate().map(start).collect();
         let ops = places.iter().map(|place| place[1]).collect();
@@ -114,7 +114,7 @@
         let length = text.len();
         let head =
             format!("{method} /ops/{path} HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n{text}");
-        let answer = ask(self.ops[door], &head).unwrap_or_default();
+        let answer = send_raw(self.ops[door], &head).unwrap_or_default();
         let status = answer.get(9..12).and_then(|status| status.parse().ok()).unwrap_or(0);
         let body = answer.split("\r\n\r\n").nth(1).unwrap_or_default();
         (status, serde_json::from_str(body).unwrap_or_default())
--- a/crates/sidecar/tests/parts.rs
+++ b/crates/sidecar/tests/parts.rs
@@ -12,12 +12,12 @@
 use cometcroft_sidecar::directory::{Directory, News};
 use cometcroft_sidecar::endpoint_list::{EndpointList, EndpointRecord, ListReader};
 use cometcroft_sidecar::exchange::{Lack, Stage, outcome, without_answer};
-use cometcroft_sidecar::figures::Figures;
 use cometcroft_sidecar::frontend::time_left;
 use cometcroft_sidecar::http::client::Exchange;
-use cometcroft_sidecar::lifecycle::Machine;
+use cometcroft_sidecar::lifecycle::LifecycleState;
 use cometcroft_sidecar::probe::report;
-use cometcroft_sidecar::retune::Control;
+use cometcroft_sidecar::reload::ConfigReloader;
+use cometcroft_sidecar::request_stats::RequestStats;
 use cometcroft_sidecar::upload::{Budget, GATHERED, Upload};
 use proptest::prelude::*;
 use serde_json::json;
@@ -93,24 +93,24 @@
 fn on_the_way_out_late_requests_are_due_before_the_kill() {
     let (begun, ms) = (Tokio.now(), Duration::from_millis);
     for shared in [false, true] {
-        let mut machine = Machine::new(begun, ms(8000), shared);
-        assert_eq!(machine.due(begun), None);
-        machine.leave(begun);
-        machine.leave(begun + ms(99));
-        assert!(machine.leaving() && machine.closes(begun) == shared);
-        assert_eq!(machine.due(begun + ms(300)), None);
+        let mut state = LifecycleState::new(begun, ms(8000), shared);
+        assert_eq!(state.response_deadline(begun), None);
+        state.begin_shutdown(begun);
+        state.begin_shutdown(begun + ms(99));
+        assert!(state.is_shutting_down() && state.closes_connections(begun) == shared);
+        assert_eq!(state.response_deadline(begun + ms(300)), None);
         let last = begun + ms(3400);
-        assert_eq!(machine.due(begun + ms(700)), Some(last));
-        let until = machine.accepts_until().expect("it leaves");
+        assert_eq!(state.response_deadline(begun + ms(700)), Some(last));
+        let until = state.accepts_until().expect("it leaves");
         assert!(if shared { until == begun } else { until > begun + ms(700) && until < last });
-        assert!(machine.closes(until) && machine.idle_until(0.99).is_some_and(|at| at < last));
+        assert!(state.closes_connections(until) && state.idle_close_at(0.99).is_some_and(|at| at < last));
         // New settings on the way out: whoever waits with SIGKILL knows those that were in force.
-        machine.longest(ms(60_000));
-        assert_eq!(machine.due(begun + ms(700)), Some(last));
-        machine.longest(ms(1000));
-        assert_eq!(machine.due(begun + ms(1000)), Some(begun + ms(1400)));
-        machine.longest(ms(60_000));
-        assert_eq!(machine.due(begun + ms(1000)), Some(begun + ms(1400)));
+        state.set_max_deadline(ms(60_000));
+        assert_eq!(state.response_deadline(begun + ms(700)), Some(last));
+        state.set_max_deadline(ms(1000));
+        assert_eq!(state.response_deadline(begun + ms(1000)), Some(begun + ms(1400)));
+        state.set_max_deadline(ms(60_000));
+        assert_eq!(state.response_deadline(begun + ms(1000)), Some(begun + ms(1400)));
     }
 }
 
@@ -124,8 +124,8 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(300))]
-    /// Whatever the order, what the machine says follows from what was said last, and the way out is never undone.
+    #![proptest_config(common::proptest_config(300))]
+    /// Whatever the order, what the state says follows from what was said last, and the way out is never undone.
     #[test]
     fn the_life_of_a_sidecar_follows_from_what_happened(
         shared in any::<bool>(),
@@ -136,42 +136,42 @@
         place in 0.0..1.0f64,
     ) {
         let (born, ms) = (Tokio.now(), Duration::from_millis);
-        let mut machine = Machine::new(born, ms(3000), shared);
+        let mut state = LifecycleState::new(born, ms(3000), shared);
         let (mut now, mut listed, mut fresh, mut drain, mut term) = (born, false, false, None, None);
         for (step, later) in steps {
             now += ms(later);
             match step {
                 Happens::Listed(any, told) => {
-                    machine.listed(any, told);
+                    state.record_list(any, told);
                     (listed, fresh) = (any, fresh || told);
                 }
                 Happens::Drain => {
-                    machine.drain(now);
+                    state.start_drain(now);
                     drain.get_or_insert(now);
                 }
                 Happens::Undrain => {
-                    machine.undrain();
+                    state.stop_drain();
                     drain = None;
                 }
                 Happens::Leave => {
-                    machine.leave(now);
+                    state.begin_shutdown(now);
                     term.get_or_insert(now);
                 }
             }
             let told = fresh || now >= born + ms(if shared { 2500 } else { 5000 });
-            prop_assert_eq!(machine.wanted(now), listed && told && drain.is_none() && term.is_none());
-            prop_assert_eq!(machine.idle_until(place).is_some(), drain.is_some() || term.is_some());
-            prop_assert_eq!(machine.accepts_until().is_some(), term.is_some());
-            prop_assert_eq!(machine.due(now).is_some(), term.is_some_and(|at: std::time::Instant| now >= at + ms(600)));
+            prop_assert_eq!(state.is_ready(now), listed && told && drain.is_none() && term.is_none());
+            prop_assert_eq!(state.idle_close_at(place).is_some(), drain.is_some() || term.is_some());
+            prop_assert_eq!(state.accepts_until().is_some(), term.is_some());
+            prop_assert_eq!(state.response_deadline(now).is_some(), term.is_some_and(|at: std::time::Instant| now >= at + ms(600)));
             // Two seconds into a drain no connection is held idle, and every answer ends its own.
             if let Some(at) = drain {
-                prop_assert!(machine.idle_until(place).is_some_and(|closed| closed < at + ms(2000)));
-                prop_assert!(machine.closes(at + ms(1000)));
+                prop_assert!(state.idle_close_at(place).is_some_and(|closed| closed < at + ms(2000)));
+                prop_assert!(state.closes_connections(at + ms(1000)));
             }
             if let (None, None) = (drain, term) {
-                prop_assert!(!machine.closes(now + ms(9999)), "what was sent away has been called back");
+                prop_assert!(!state.closes_connections(now + ms(9999)), "what was sent away has been called back");
             }
-            prop_assert!(machine.accepts_from() <= born + ms(3000));
+            prop_assert!(state.accepts_from() <= born + ms(3000));
         }
     }
 }
@@ -385,11 +385,11 @@
 
 #[test]
 fn a_bad_configuration_names_its_field_in_one_line() {
-    let good = common::config("127.0.0.1:0", "127.0.0.1:1", "null");
+    let good = common::config_json("127.0.0.1:0", "127.0.0.1:1", "null");
     let none = |_: &str| None;
     let config = Config::parse(&good, none).expect("good");
     assert!(config.settings.limits.retry_after, "who is denied is told when to come back");
-    assert_eq!(config.net.classes, ["plan", "book", "pay"]);
+    assert_eq!(config.network.classes, ["plan", "book", "pay"]);
     let told = |name: &str| (name == "LB_NAME").then(|| "other".to_owned());
     assert_eq!(Config::parse(&good, told).expect("good").name, "other");
     for (from, to, field) in [
@@ -410,10 +410,10 @@
 
 #[test]
 fn of_a_new_file_nothing_is_taken_unless_it_is_whole() {
-    let good = common::config("127.0.0.1:0", "127.0.0.1:1", "null");
+    let good = common::config_json("127.0.0.1:0", "127.0.0.1:1", "null");
     let parse = |text: &str| Config::parse(text, |_| None);
     let config = parse(&good).expect("good");
-    let (control, counters) = (Control::new(&config), Counters::default());
+    let (control, counters) = (ConfigReloader::new(&config), Counters::default());
     let mut bad = 0;
     let mut refused = |text: &str| {
         bad += 1;
@@ -472,7 +472,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(60))]
+    #![proptest_config(common::proptest_config(60))]
     /// Over any files and requests, a number means one class to whoever holds it, and the table stays short.
     #[test]
     fn a_number_stands_for_one_class_while_anyone_holds_it(
@@ -515,7 +515,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(100))]
+    #![proptest_config(common::proptest_config(100))]
     /// Whatever is gathered, begun and dropped, the bytes booked stay within the budget and all come back.
     #[test]
     fn the_memory_for_large_bodies_is_never_exceeded_and_always_given_back(
@@ -549,15 +549,15 @@
 
 #[test]
 fn what_was_counted_outlives_its_class_until_newer_ones_need_the_room() {
-    let figures = Figures::default();
+    let stats = RequestStats::default();
     for n in 0..1000 {
-        figures.name(&["zz".to_owned(), format!("c{n}")]);
-        figures.relay(ClassId(0));
-        figures.relay(ClassId(1));
+        stats.set_class_names(&["zz".to_owned(), format!("c{n}")]);
+        stats.record_relayed(ClassId(0));
+        stats.record_relayed(ClassId(1));
     }
-    let tallies = figures.tallies();
-    assert_eq!((tallies.len(), tallies["zz"].relayed, figures.relayed()), (256, 1000, 2000));
-    assert!(tallies.contains_key("c745") && !tallies.contains_key("c744"), "those gone longest made room");
+    let classes = stats.by_class();
+    assert_eq!((classes.len(), classes["zz"].relayed, stats.relayed()), (256, 1000, 2000));
+    assert!(classes.contains_key("c745") && !classes.contains_key("c744"), "those gone longest made room");
 }
 
 #[test]
@@ -582,7 +582,7 @@
 #[test]
 fn a_module_is_not_told_of_second_copies_that_the_session_table_declines() {
     let mut value: serde_json::Value =
-        serde_json::from_str(&common::config("127.0.0.1:0", "127.0.0.1:1", "null")).expect("JSON");
+        serde_json::from_str(&common::config_json("127.0.0.1:0", "127.0.0.1:1", "null")).expect("JSON");
     value["settings"]["policy-limits"]["second-copies"] = json!(true);
     let config = Config::parse(&value.to_string(), |_| None).expect("good");
     assert!(!config.settings.limits.hedging, "the table has one dispatch of a session out at most");
@@ -590,10 +590,10 @@
 
 #[test]
 fn the_level_of_the_log_is_named_or_refused() {
-    use cometcroft_sidecar::logging::level;
-    assert_eq!(level(None).map(|level| level.to_string()), Ok("info".to_owned()));
-    assert_eq!(level(Some("debug")).map(|level| level.to_string()), Ok("debug".to_owned()));
-    let refused = level(Some("loud")).map_err(|error| error.to_string());
+    use cometcroft_sidecar::logging::parse_level;
+    assert_eq!(parse_level(None).map(|level| level.to_string()), Ok("info".to_owned()));
+    assert_eq!(parse_level(Some("debug")).map(|level| level.to_string()), Ok("debug".to_owned()));
+    let refused = parse_level(Some("loud")).map_err(|error| error.to_string());
     assert_eq!(refused.unwrap_err(), "LB_LOG: \"loud\" is no level; off, error, warn, info, debug or trace");
 }
 
@@ -605,14 +605,14 @@
         for shared in [false, true] {
             let now = Tokio.now();
             let longest = Duration::from_millis(deadline);
-            let mut machine = Machine::new(now, longest, shared);
-            machine.leave(now);
+            let mut state = LifecycleState::new(now, longest, shared);
+            state.begin_shutdown(now);
             let kill = now + longest.min(Duration::from_secs(3)) + Duration::from_millis(700);
             for place in [0.0, 0.5, 1.0] {
-                let idle_until = machine.idle_until(place).expect("it leaves");
+                let idle_until = state.idle_close_at(place).expect("it leaves");
                 assert!(idle_until + Duration::from_millis(400) <= kill, "{deadline} ms, shared: {shared}");
             }
-            let accepts_until = machine.accepts_until().expect("it leaves");
+            let accepts_until = state.accepts_until().expect("it leaves");
             assert!(shared || accepts_until >= now + Duration::from_millis(400), "{deadline} ms");
             assert!(accepts_until + Duration::from_millis(400) <= kill, "{deadline} ms, shared: {shared}");
         }
--- a/crates/sidecar/tests/plan.rs
+++ b/crates/sidecar/tests/plan.rs
@@ -3,7 +3,9 @@
 #![allow(clippy::disallowed_methods)]
 mod common;
 
-use common::program::{Received, Sidecar, ask, backend, discovery, places};
+use common::program::{
+    SidecarProcess, StubStats, send_raw, sidecar_addresses, start_discovery, start_endpoint,
+};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,24 +14,26 @@
 /// Three keepers and one more, round these backend servers.
 struct Fleet {
     /// Starts one, as it was started first.
-    start: Box<dyn Fn(usize) -> Sidecar>,
-    sidecars: Vec<Sidecar>,
-    servers: Vec<(SocketAddr, Arc<Received>)>,
+    start: Box<dyn Fn(usize) -> SidecarProcess>,
+    sidecars: Vec<SidecarProcess>,
+    servers: Vec<(SocketAddr, Arc<StubStats>)>,
 }
 
 impl Fleet {
     fn start(rejects: bool, sections: &str) -> Fleet {
-        let servers = vec![backend(Duration::ZERO, "", rejects), backend(Duration::ZERO, "", rejects)];
+        let servers =
+            vec![start_endpoint(Duration::ZERO, "", rejects), start_endpoint(Duration::ZERO, "", rejects)];
         let all: Vec<SocketAddr> = servers.iter().map(|(at, _)| *at).collect();
-        let (places, discovery) = (places(4), discovery(all.clone()));
+        let (places, discovery) = (sidecar_addresses(4), start_discovery(all.clone()));
         let keepers: Vec<String> = places[..3].iter().map(|place| format!("\"{}\"", place[2])).collect();
         let keepers = keepers.join(", ");
         let sections = format!(
             "seeds = [{keepers}]\nlongest_pause = \"1s\"\n[plan]\nkeepers = [{keepers}]\n{}",
             sections.replace("KEEPERS", &keepers)
         );
-        let start =
-            move |i: usize| Sidecar::begin(&format!("n{i}"), places[i], &all, discovery, false, &sections);
+        let start = move |i: usize| {
+            SidecarProcess::start_at(&format!("n{i}"), places[i], &all, discovery, false, &sections)
+        };
         let sidecars = (0..4).map(&start).collect();
         Fleet { start: Box::new(start), sidecars, servers }
     }
@@ -39,7 +43,7 @@
         let length = text.len();
         let head =
             format!("{method} /ops/plan{call} HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n{text}");
-        let answer = ask(self.sidecars[door].ops, &head).unwrap_or_default();
+        let answer = send_raw(self.sidecars[door].ops, &head).unwrap_or_default();
         let status = answer.get(9..12).and_then(|status| status.parse().ok()).unwrap_or(0);
         let body = answer.split("\r\n\r\n").nth(1).unwrap_or_default();
         (status, serde_json::from_str(body).unwrap_or_default())
@@ -89,7 +93,7 @@
     /// Requests at every sidecar, so many each; how many each server received of them.
     fn load(&self, each: usize) -> Vec<u64> {
         let count = |fleet: &Fleet| -> Vec<u64> {
-            fleet.servers.iter().map(|(_, r)| r.of(|r| &r.requests)).collect()
+            fleet.servers.iter().map(|(_, r)| r.get(|r| &r.requests)).collect()
         };
         let before = count(self);
         for sidecar in &self.sidecars {
@@ -182,7 +186,7 @@
     assert!(permits[0] < permits[1]);
     let leaves = |fleet: &mut Fleet, door: usize| {
         let began = Instant::now();
-        while !fleet.sidecars[door].ended() {
+        while !fleet.sidecars[door].has_ended() {
             assert!(
                 began.elapsed() < Duration::from_secs(40),
                 "{door} leaves: {:?}",
@@ -194,7 +198,7 @@
     leaves(&mut fleet, 2);
     // One is out: the other has to wait, and says for whom.
     std::thread::sleep(Duration::from_millis(1500));
-    assert!(!fleet.sidecars[3].ended(), "two out at once");
+    assert!(!fleet.sidecars[3].has_ended(), "two out at once");
     let (_, told) = fleet.call(0, "GET", "", "");
     let waits = told["permits"].as_array().and_then(|all| all.iter().find(|it| it["number"] == permits[1]));
     let waits = waits.and_then(|it| it["waits_for"].as_str()).unwrap_or_default().to_owned();
--- a/crates/sidecar/tests/processes.rs
+++ b/crates/sidecar/tests/processes.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::disallowed_methods)]
 mod common;
 
-use common::program::{NUMBER, Process, confirm_once, list, places};
+use common::program::{NEXT_NUMBER, Process, list_json, sidecar_addresses, start_confirm_once};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::Ordering;
@@ -13,7 +13,7 @@
 
 /// A message up to its blank line; empty where its sender has ended.
 fn head(stream: &mut TcpStream) -> String {
-    common::program::head(stream).unwrap_or_default()
+    common::program::read_head(stream).unwrap_or_default()
 }
 
 fn connect(to: SocketAddr) -> TcpStream {
@@ -31,7 +31,7 @@
 }
 
 fn request(stream: &mut TcpStream, line: &str) {
-    let number = NUMBER.fetch_add(1, Ordering::SeqCst);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
     let text = format!("{line} HTTP/1.1\r\nHost: h\r\nX-Call-Id: {number:x}\r\nX-Budget: 2900m\r\n");
     let body = if line.starts_with("POST") { "Content-Length: 2\r\n\r\nhi" } else { "\r\n" };
     stream.write_all((text + body).as_bytes()).expect("it reads");
@@ -78,12 +78,13 @@
 #[test]
 fn idle_clients_fill_the_descriptors_while_discovery_is_down() {
     for descriptors in [64, 256] {
-        let (server, _) = common::program::backend(Duration::ZERO, "", false);
-        let [listen, ops, discovery] = places(1)[0];
-        let config = common::config(&listen.to_string(), &discovery.to_string(), &list(&[server], 1))
-            .replace("\"sockets\":256", &format!("\"sockets\":{descriptors}"));
+        let (server, _) = common::program::start_endpoint(Duration::ZERO, "", false);
+        let [listen, ops, discovery] = sidecar_addresses(1)[0];
+        let config =
+            common::config_json(&listen.to_string(), &discovery.to_string(), &list_json(&[server], 1))
+                .replace("\"sockets\":256", &format!("\"sockets\":{descriptors}"));
         let process = Process::start(&config, &[("LB_OPS", ops.to_string())], descriptors);
-        confirm_once(discovery).join().expect("no panic");
+        start_confirm_once(discovery).join().expect("no panic");
         until("it is ready", || ready(listen));
         let mut idle = Vec::new();
         for number in 0..descriptors {
@@ -111,7 +112,7 @@
             std::thread::sleep(5 * MS);
         }
         process.signal("TERM");
-        let said = process.end();
+        let said = process.wait();
         let said = (said.status.success(), String::from_utf8_lossy(&said.stderr).into_owned());
         assert!(said.0 && said.1.contains("\"accept_failures\":0,"), "{said:?}");
     }
@@ -124,9 +125,10 @@
     let stories = orders.map(|order| {
         std::thread::spawn(move || {
             let (server, comes) = held();
-            let discovery = common::program::discovery(vec![server]);
-            let [listen, _, _] = places(1)[0];
-            let config = common::config(&listen.to_string(), &discovery.to_string(), &list(&[server], 1));
+            let discovery = common::program::start_discovery(vec![server]);
+            let [listen, _, _] = sidecar_addresses(1)[0];
+            let config =
+                common::config_json(&listen.to_string(), &discovery.to_string(), &list_json(&[server], 1));
             let process = Process::start(&config, &[], 256);
             until("it is ready", || ready(listen));
             let (mut owed, mut half) = (connect(listen), connect(listen));
@@ -144,7 +146,7 @@
                 go.send(()).expect("it waits");
                 assert!(head(client).starts_with("HTTP/1.1 200"), "{order:?}");
             }
-            let output = process.end();
+            let output = process.wait();
             let said = String::from_utf8_lossy(&output.stderr).into_owned();
             assert!(output.status.success() && said.contains("\"served\":2,"), "{order:?}: {said}");
         })
@@ -157,7 +159,7 @@
 /// Thirty start at once with no list, and discovery serves calls in turn, 60 ms each, and turns away who waited for a second.
 #[test]
 fn nine_in_ten_of_thirty_that_restart_at_once_are_ready_in_time_though_discovery_is_swamped() {
-    let (server, _) = common::program::backend(Duration::ZERO, "", false);
+    let (server, _) = common::program::start_endpoint(Duration::ZERO, "", false);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let discovery = listener.local_addr().expect("bound");
     let (queue, calls) = mpsc::channel::<(TcpStream, Instant)>();
@@ -172,7 +174,7 @@
             });
         }
     });
-    let whole = list(&[server], 1);
+    let whole = list_json(&[server], 1);
     std::thread::spawn(move || {
         for (mut stream, since) in calls {
             let late = since.elapsed() > 1000 * MS;
@@ -186,11 +188,15 @@
             let _ = stream.write_all(answer.as_bytes());
         }
     });
-    let places = places(30);
+    let places = sidecar_addresses(30);
     let processes: Vec<Process> = places
         .iter()
         .map(|[listen, ..]| {
-            Process::start(&common::config(&listen.to_string(), &discovery.to_string(), "null"), &[], 256)
+            Process::start(
+                &common::config_json(&listen.to_string(), &discovery.to_string(), "null"),
+                &[],
+                256,
+            )
         })
         .collect();
     let (began, mut up) = (Instant::now(), vec![false; processes.len()]);
@@ -211,10 +217,10 @@
     let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
     socket2::SockRef::from(&socket).set_cloexec(false).expect("a flag");
     let clients = socket.local_addr().expect("bound");
-    let discovery = common::program::discovery(vec![server]);
-    let [_, one, _] = places(1)[0];
-    let two = places(1)[0][1];
-    let config = common::config(&clients.to_string(), &discovery.to_string(), &list(&[server], 1));
+    let discovery = common::program::start_discovery(vec![server]);
+    let [_, one, _] = sidecar_addresses(1)[0];
+    let two = sidecar_addresses(1)[0][1];
+    let config = common::config_json(&clients.to_string(), &discovery.to_string(), &list_json(&[server], 1));
     let begin = |ops: SocketAddr| {
         let inherits = ("LB_SOCKET_FD", socket.as_raw_fd().to_string());
         Process::start(&config, &[inherits, ("LB_OPS", ops.to_string())], 256)
@@ -248,11 +254,11 @@
         go.send(()).expect("it waits");
         assert!(head(client).starts_with("HTTP/1.1 200"));
     }
-    let output = old.end();
+    let output = old.wait();
     let said = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success() && said.contains("\"served\":3,"), "{said}");
     new.signal("TERM");
-    let output = new.end();
+    let output = new.wait();
     let said = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success() && said.contains("\"served\":1,"), "{said}");
 }
--- a/crates/sidecar/tests/sessions.rs
+++ b/crates/sidecar/tests/sessions.rs
@@ -125,7 +125,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(150))]
+    #![proptest_config(common::proptest_config(150))]
 
     #[test]
     fn every_session_gets_one_answer_and_the_rules_hold(steps in prop::collection::vec(step(), 1..120)) {
--- a/crates/sidecar/tests/shutdown_soak.rs
+++ b/crates/sidecar/tests/shutdown_soak.rs
@@ -5,7 +5,9 @@
 #![allow(clippy::disallowed_methods)]
 mod common;
 
-use common::program::{NUMBER, Process, ask, confirm_once, head, list, places, stand_in};
+use common::program::{
+    NEXT_NUMBER, Process, list_json, read_head, send_raw, sidecar_addresses, start_confirm_once, start_stub,
+};
 use fastrand::Rng;
 use std::collections::HashSet;
 use std::io::Write;
@@ -72,8 +74,8 @@
 
 /// Starts a process, and waits until it is ready; tells where it listens.
 fn start(plan: &Plan, endpoints: &[SocketAddr], seed: u64) -> (Process, SocketAddr) {
-    let [listen, _, down] = places(1)[0];
-    let known = list(endpoints, 1);
+    let [listen, _, down] = sidecar_addresses(1)[0];
+    let known = list_json(endpoints, 1);
     let whole = known.clone();
     let answer = move |asked: &str| {
         let held = asked.contains("hold_ms=");
@@ -84,19 +86,20 @@
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
     };
     let discovery = if plan.discovery_down {
-        confirm_once(down);
+        start_confirm_once(down);
         down
     } else {
-        stand_in(move |asked, _| answer(asked)).0
+        start_stub(move |asked, _| answer(asked)).0
     };
     let deadline = plan.deadline.as_nanos();
-    let config = common::config(&listen.to_string(), &discovery.to_string(), &known)
+    let config = common::config_json(&listen.to_string(), &discovery.to_string(), &known)
         .replace("\"deadline-ns\":3000000000", &format!("\"deadline-ns\":{deadline}"))
         .replace("\"slo-ns\":800000000", &format!("\"slo-ns\":{}", deadline / 2))
         .replace("8c1f30d27a5be964", &format!("{seed:016x}"));
     let process = Process::start(&config, &[], 256);
     let began = Instant::now();
-    while !ask(listen, "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n").is_some_and(|up| up.contains(" 200 "))
+    while !send_raw(listen, "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")
+        .is_some_and(|up| up.contains(" 200 "))
     {
         assert!(began.elapsed() < 10_000 * MS, "it is not ready");
         sleep(10 * MS);
@@ -133,7 +136,7 @@
             if stop.load(Ordering::SeqCst) {
                 return sent;
             }
-            let id = format!("{:x}", NUMBER.fetch_add(1, Ordering::SeqCst));
+            let id = format!("{:x}", NEXT_NUMBER.fetch_add(1, Ordering::SeqCst));
             let at = Instant::now();
             let end = request(&mut stream, &id, deadline, rng.bool());
             sent.push(Sent { id, at, ended: Instant::now(), end });
@@ -161,7 +164,7 @@
         Ok(_) => {}
         Err(_) => return End::Broken,
     }
-    let Some(answer) = head(stream) else { return End::Broken };
+    let Some(answer) = read_head(stream) else { return End::Broken };
     let length = answer.to_ascii_lowercase();
     let length = length.split("content-length: ").nth(1).and_then(|rest| rest.split('\r').next());
     let mut body = vec![0; length.and_then(|length| length.parse().ok()).unwrap_or(0)];
@@ -186,7 +189,7 @@
     let endpoint = |number: usize| {
         let (seen, work, hangs) = (forwarded.clone(), plan.work, plan.hangs && number == 0);
         let deadline = plan.deadline;
-        stand_in(move |asked, _| {
+        start_stub(move |asked, _| {
             if let Some(id) = asked.split("X-Call-Id: ").nth(1).and_then(|rest| rest.split('\r').next()) {
                 seen.lock().expect("no panic").insert(id.to_owned());
             }
--- a/crates/sidecar/tests/start_clock.rs
+++ b/crates/sidecar/tests/start_clock.rs
@@ -25,31 +25,31 @@
         clock.observe(at(NOW, 20), at(UNIX, 20));
         // The step comes between 20 and 24 s.
         clock.observe(at(NOW, 24), at(UNIX, 24 + step));
-        assert_eq!(clock.started(stamp(at(UNIX, 10))), Some(at(NOW, 10)), "before the step of {step} s");
+        assert_eq!(clock.start_time(stamp(at(UNIX, 10))), Some(at(NOW, 10)), "before the step of {step} s");
         clock.observe(at(NOW, 40), at(UNIX, 40 + step));
         assert_eq!(
-            clock.started(stamp(at(UNIX, 36 + step))),
+            clock.start_time(stamp(at(UNIX, 36 + step))),
             Some(at(NOW, 36)),
             "after the step of {step} s"
         );
-        assert_eq!(clock.started(0), None);
-        assert_eq!(clock.started(stamp(at(UNIX, -4 * HOUR))), None, "long ago");
+        assert_eq!(clock.start_time(0), None);
+        assert_eq!(clock.start_time(stamp(at(UNIX, -4 * HOUR))), None, "long ago");
     }
 }
 
 #[test]
 fn a_clock_that_is_slewed_moves_no_start() {
     let clock = StartClock::new(NOW, UNIX);
-    let started = clock.started(stamp(at(UNIX, -5)));
+    let started = clock.start_time(stamp(at(UNIX, -5)));
     for second in 1..100u32 {
         let slewed = at(UNIX, i64::from(second)) + Duration::from_millis(1) * second;
         clock.observe(at(NOW, i64::from(second)), slewed);
-        assert_eq!(clock.started(stamp(at(UNIX, -5))), started);
+        assert_eq!(clock.start_time(stamp(at(UNIX, -5))), started);
     }
 }
 
 proptest! {
-    #![proptest_config(common::fixed(500))]
+    #![proptest_config(common::proptest_config(500))]
     /// An endpoint that has started is never taken to have started earlier than it did, beyond what looks at the clock miss,
     /// and never in the future: so it is never sent more than a cold one may be.
     #[test]
@@ -72,7 +72,7 @@
             }
             clock.observe(at(NOW, second), at(UNIX, second + shift));
         }
-        let placed = clock.started(stamped.expect("it has started"));
+        let placed = clock.start_time(stamped.expect("it has started"));
         let (true_start, now) = (at(NOW, started), at(NOW, look));
         // A step of under a quarter of a second is none here, as all are whole seconds.
         prop_assert!(placed.is_some_and(|placed| placed >= true_start && placed <= now), "{placed:?} for {true_start:?}");
--- a/crates/sidecar/tests/upgrade.rs
+++ b/crates/sidecar/tests/upgrade.rs
@@ -123,7 +123,8 @@
     let (socket, clients) = listen();
     socket2::SockRef::from(&socket).set_cloexec(false).expect("a flag");
     let path = std::env::temp_dir().join(format!("cometcroft-upgrade-{}.json", std::process::id()));
-    std::fs::write(&path, common::config(&clients.to_string(), &told.to_string(), "null")).expect("a file");
+    std::fs::write(&path, common::config_json(&clients.to_string(), &told.to_string(), "null"))
+        .expect("a file");
     let (one, two) = (listen().1, listen().1);
     let old = program(&path, socket.as_raw_fd(), one);
     until("the first one is ready", || ready(one));
