--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,4 +1,4 @@
-//! What the sidecar is told at its start: the environment and the file that `LB_CONFIG` names.
+//! The configuration of a sidecar, read from the environment and from the file that `LB_CONFIG` names.
 
 use cometcroft::Settings;
 use cometcroft_settings::{Field, Sockets, hash, read_settings, read_sockets};
@@ -8,10 +8,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A field of the configuration that is missing or makes no sense.
+/// A field of the configuration is missing or invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigError {
-    /// Which field, or variable of the environment.
+    /// The field, or the environment variable.
     pub field: String,
     /// What is wrong with it.
     pub reason: String,
@@ -25,123 +25,124 @@
 
 impl std::error::Error for ConfigError {}
 
-fn bad(field: &str, reason: impl fmt::Display) -> ConfigError {
-    // One line, whatever a parser had to say.
+fn invalid(field: &str, reason: impl fmt::Display) -> ConfigError {
+    // Operators' tools read one line; parsers may report several.
     ConfigError { field: field.to_owned(), reason: reason.to_string().replace('\n', " ") }
 }
 
-/// The text of the file that `LB_CONFIG` names.
-fn text(var: impl Fn(&str) -> Option<String>) -> Result<String, ConfigError> {
-    let path = var("LB_CONFIG").ok_or_else(|| bad("LB_CONFIG", "is not set"))?;
-    std::fs::read_to_string(&path).map_err(|e| bad("LB_CONFIG", e))
+/// Reads the file that `LB_CONFIG` names.
+fn read_file(var: impl Fn(&str) -> Option<String>) -> Result<String, ConfigError> {
+    let path = var("LB_CONFIG").ok_or_else(|| invalid("LB_CONFIG", "is not set"))?;
+    std::fs::read_to_string(&path).map_err(|e| invalid("LB_CONFIG", e))
 }
 
 /// The configuration of one sidecar.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name.
+    /// The sidecar's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// The address of the operations endpoint, if there is one.
     pub ops: Option<SocketAddr>,
-    /// The number of the listening socket, if it is inherited.
+    /// The file descriptor of the listening socket, if it is inherited.
     pub inherited_socket: Option<i32>,
-    /// Where discovery answers.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// File descriptors that it may hold.
+    /// Maximum number of open file descriptors.
     pub max_sockets: usize,
-    /// Bytes of memory that it may use.
+    /// Maximum memory, in bytes.
     pub memory_bytes: usize,
-    /// The list of backend servers as last held, in discovery's form.
+    /// The last known endpoint list, in the format of discovery.
     pub known_endpoints: Value,
-    /// What the module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The values that load reports hold.
+    /// The fields of a load report.
     pub load_report_fields: Vec<Field>,
-    /// What the sockets need of the settings.
+    /// Settings of the network side.
     pub network: Sockets,
-    /// The whole file, without the list.
+    /// The whole file, without the endpoint list.
     pub document: Rc<Value>,
 }
 
 impl Config {
-    /// Reads the environment through `var`, and the file that it names.
+    /// Reads the environment through `var`, and the file that `LB_CONFIG` names.
     pub fn load(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-        Config::parse(&text(&var)?, var)
+        Config::parse(&read_file(&var)?, var)
     }
 
-    /// The longest time that a client waits.
+    /// The longest deadline of any request class.
     pub fn max_deadline(&self) -> Duration {
         self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
-    /// Reads the file again. Danger: what the environment said of discovery at the start would hide where the
-    /// new file says that it has moved to, so there the file goes first.
+    /// Reads the file again. Its address of discovery takes precedence over `LB_DISCOVERY`: the environment, fixed at the
+    /// start, would otherwise hide that discovery has moved.
     pub fn reload(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-        let value: Value = serde_json::from_str(&text(&var)?).map_err(|e| bad("LB_CONFIG", e))?;
-        let told = value.get("discovery").is_some();
-        Config::read(value, |name| var(name).filter(|_| !told || name != "LB_DISCOVERY"))
+        let value: Value = serde_json::from_str(&read_file(&var)?).map_err(|e| invalid("LB_CONFIG", e))?;
+        let has_discovery = value.get("discovery").is_some();
+        Config::from_value(value, |name| var(name).filter(|_| !has_discovery || name != "LB_DISCOVERY"))
     }
 
-    /// Reads the configuration's text; what the environment says goes before it.
+    /// Parses the text of the file; environment variables take precedence over it.
     pub fn parse(text: &str, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-        Config::read(serde_json::from_str(text).map_err(|e| bad("LB_CONFIG", e))?, var)
+        Config::from_value(serde_json::from_str(text).map_err(|e| invalid("LB_CONFIG", e))?, var)
     }
 
-    fn read(mut value: Value, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-        let told = |name: &str, field: &str| -> Result<String, ConfigError> {
+    fn from_value(mut value: Value, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        let text = |name: &str, field: &str| -> Result<String, ConfigError> {
             let file = || value.get(field).and_then(Value::as_str).map(str::to_owned);
-            var(name).or_else(file).ok_or_else(|| bad(field, "is missing"))
+            var(name).or_else(file).ok_or_else(|| invalid(field, "is missing"))
         };
         let address = |name: &str, field: &str| -> Result<SocketAddr, ConfigError> {
-            told(name, field)?.parse().map_err(|e| bad(field, e))
+            text(name, field)?.parse().map_err(|e| invalid(field, e))
         };
         let ops = match var("LB_OPS").or_else(|| value.get("ops").and_then(Value::as_str).map(str::to_owned))
         {
-            Some(ops) => Some(ops.parse().map_err(|e| bad("ops", e))?),
+            Some(ops) => Some(ops.parse().map_err(|e| invalid("ops", e))?),
             None if value.get("ops").is_some_and(|ops| !ops.is_null()) => {
-                return Err(bad("ops", "is no address"));
+                return Err(invalid("ops", "is no address"));
             }
             None => None,
         };
-        let socket = var("LB_SOCKET_FD").map(|number| number.trim().parse()).transpose();
-        let seed = value.get("seed").and_then(Value::as_str).ok_or_else(|| bad("seed", "is missing"))?;
+        let inherited_socket = var("LB_SOCKET_FD").map(|number| number.trim().parse()).transpose();
+        let seed = value.get("seed").and_then(Value::as_str).ok_or_else(|| invalid("seed", "is missing"))?;
         let seed = u64::from_str_radix(seed, 16).unwrap_or_else(|_| hash(seed));
-        let settings = value.get("settings").ok_or_else(|| bad("settings", "is missing"))?;
-        let (mut module, fields) = read_settings(settings).map_err(|e| bad("settings", e))?;
-        // The simulator's clients may be deaf to advice; on sockets any refusal may carry `Retry-After`,
-        // so the module is asked for it: who is denied is told when to come back.
-        module.limits.retry_after = true;
-        // The session table has one dispatch of a session out at most. Danger: a module that may send second copies has
-        // them declined, which uses up attempts, and never moves a request away from a backend server that is silent.
-        module.limits.hedging = false;
-        module.validate().map_err(|e| bad("settings", e))?;
-        let sockets = value.pointer("/limits/sockets").and_then(Value::as_u64).unwrap_or(1024);
-        if sockets < 64 {
-            return Err(bad("limits.sockets", "must be at least 64"));
+        let settings = value.get("settings").ok_or_else(|| invalid("settings", "is missing"))?;
+        let (mut module_settings, load_report_fields) =
+            read_settings(settings).map_err(|e| invalid("settings", e))?;
+        // In the simulator, clients may ignore Retry-After, so settings may disable it; over HTTP any rejection may carry the
+        // header, so rejected clients always learn when to retry.
+        module_settings.limits.retry_after = true;
+        // The request table runs one attempt of a request at a time. With hedging, the module's hedged attempts would be
+        // declined, which uses up attempts, and a request would never move away from an endpoint that does not respond.
+        module_settings.limits.hedging = false;
+        module_settings.validate().map_err(|e| invalid("settings", e))?;
+        let max_sockets = value.pointer("/limits/sockets").and_then(Value::as_u64).unwrap_or(1024);
+        if max_sockets < 64 {
+            return Err(invalid("limits.sockets", "must be at least 64"));
         }
-        let memory = value.pointer("/limits/memory_mb").and_then(Value::as_u64).unwrap_or(192);
-        let (name, listen) = (told("LB_NAME", "name")?, address("LB_LISTEN", "listen")?);
+        let memory_mb = value.pointer("/limits/memory_mb").and_then(Value::as_u64).unwrap_or(192);
+        let (name, listen) = (text("LB_NAME", "name")?, address("LB_LISTEN", "listen")?);
         let discovery = address("LB_DISCOVERY", "discovery")?;
-        let net = read_sockets(settings).map_err(|e| bad("settings", e))?;
-        // Thousands of endpoints: held once, and only until they are taken over.
-        let known = value.get_mut("known").map(Value::take).unwrap_or(Value::Null);
+        let network = read_sockets(settings).map_err(|e| invalid("settings", e))?;
+        // The list may have thousands of entries: it is held once, and only until it has been applied.
+        let known_endpoints = value.get_mut("known").map(Value::take).unwrap_or(Value::Null);
         Ok(Config {
             name,
             listen,
             ops,
-            inherited_socket: socket.map_err(|e| bad("LB_SOCKET_FD", e))?,
+            inherited_socket: inherited_socket.map_err(|e| invalid("LB_SOCKET_FD", e))?,
             discovery,
             seed,
-            max_sockets: sockets.min(1 << 20) as usize,
-            memory_bytes: memory.min(1 << 20) as usize * 1_000_000,
-            known_endpoints: known,
-            settings: module,
-            load_report_fields: fields,
-            network: net,
+            max_sockets: max_sockets.min(1 << 20) as usize,
+            memory_bytes: memory_mb.min(1 << 20) as usize * 1_000_000,
+            known_endpoints,
+            settings: module_settings,
+            load_report_fields,
+            network,
             document: Rc::new(value),
         })
     }
--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -1,4 +1,4 @@
-//! What a sidecar takes in, sends and answers, counted; and invariants, counted in release builds.
+//! Counters of the events of a sidecar, and the check of its invariants.
 
 use crate::request_stats::RequestStats;
 use serde_json::json;
@@ -7,11 +7,11 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// The counters of one sidecar.
+        /// The counters of one sidecar. The field names are the keys of the JSON object.
         #[derive(Debug, Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: Cell<u64>,)*
-            /// What the operators' figures count.
+            /// Statistics per request class, for the operations endpoint.
             pub request_stats: RequestStats,
         }
 
@@ -32,110 +32,111 @@
     frontend_connections,
     /// Connections that could not be accepted.
     accept_failures,
-    /// Client connections with no open request closed to make room.
+    /// Idle client connections closed to make room for others.
     frontend_evicted,
-    /// Client connections that sent nothing, or half a request, in time.
+    /// Client connections that did not send a complete request in time.
     frontend_mute,
-    /// Requests with the id of one that is open.
+    /// Requests with the id of another open request.
     repeated_ids,
-    /// Requests rejected as malformed or oversized, never dispatched.
+    /// Malformed or oversized requests, of which no attempt was made.
     bad_requests,
-    /// Requests refused as the fleet's budget for them is used up.
+    /// Requests rejected because the fleet's budget for requests was used up.
     budget_refused,
-    /// Attempts beyond the first that were not sent as the fleet's budget for them is used up.
+    /// Retries that were not sent because the fleet's budget for retries was used up.
     retries_barred,
-    /// Connections that were not made in time as the fleet's budget for them is used up.
+    /// Connections that were not opened in time because the fleet's budget for connections was used up.
     connections_barred,
-    /// Probes that were not sent as the fleet's budget for them is used up.
+    /// Probes that were not sent because the fleet's budget for probes was used up.
     probes_barred,
-    /// Sessions taken in.
+    /// Requests accepted.
     sessions,
-    /// Sessions answered with a backend server's answer.
+    /// Requests answered with the response of an endpoint.
     served,
-    /// Sessions denied.
+    /// Requests rejected.
     denied,
-    /// Sessions answered as failed.
+    /// Requests that failed.
     failed,
-    /// Sessions whose client left first.
+    /// Requests whose client disconnected first.
     withdrawn,
-    /// Sessions that the hard answer timer ended.
+    /// Requests that timed out: no response by their deadline.
     overdue,
-    /// Dispatches begun.
+    /// Attempts started.
     dispatches,
-    /// Dispatches answered with 200.
+    /// Attempts answered with status 200.
     dispatch_ok,
-    /// Dispatches answered with an error.
+    /// Attempts answered with an error.
     dispatch_error,
-    /// Dispatches turned away unexamined.
+    /// Attempts that the endpoint rejected without running them.
     dispatch_full,
-    /// Dispatches that got no answer in time.
+    /// Attempts that timed out.
     dispatch_timeout,
-    /// Dispatches that could not connect.
+    /// Attempts that could not connect to the endpoint.
     dispatch_unconnected,
-    /// Dispatches whose connection broke.
+    /// Attempts whose connection was lost.
     dispatch_reset,
-    /// Answers that can't be read or don't belong to their request; these dispatches ended with an error.
+    /// Responses that could not be parsed or did not belong to their request; their attempts ended with an error.
     answers_spoilt,
-    /// Dispatches given up by the module.
+    /// Attempts cancelled by the decision module.
     dispatch_cancelled,
-    /// Dispatches of sessions that were over.
+    /// Attempts of requests that had already ended.
     dispatch_moot,
-    /// Dispatches stopped before their first byte as their backend server drains, is gone or has moved.
+    /// Attempts stopped before their first byte because the endpoint was draining, removed or had moved.
     dispatch_barred,
-    /// Dispatches stopped before their first byte as the list is not confirmed and their backend server took none lately.
+    /// Attempts stopped before their first byte because the endpoint list was not confirmed and the endpoint had not accepted
+    /// an attempt recently.
     dispatch_unconfirmed,
-    /// Dispatches stopped before their first byte as their time ended while a notice of discovery lay unread.
+    /// Attempts stopped before their first byte because their time ran out while a notification of discovery was unread.
     dispatch_unread,
-    /// The longest time from the arrival of a notice that bars a backend server until it was barred, in microseconds.
+    /// Longest time from the arrival of a notification that excludes an endpoint to its exclusion, in microseconds.
     bar_delay_longest_us,
-    /// Repeats that were not sent as their window ended first.
+    /// Retries that were not sent because their window ended first.
     dispatch_outlived,
-    /// Connections opened to backend servers.
+    /// Connections opened to endpoints.
     backend_connections,
-    /// Dispatches that went over a connection used before.
+    /// Attempts sent on a reused connection.
     backend_reused,
-    /// Idle connections found closed or with unread bytes.
+    /// Idle connections to endpoints found closed or with unread bytes.
     backend_stale,
-    /// Calls of operators answered.
+    /// Calls answered by the operations endpoint.
     ops_calls,
     /// Probes sent.
     probes,
-    /// Probes that brought no report.
+    /// Probes without a load report in response.
     probe_failures,
-    /// Discovery calls.
+    /// Calls to discovery.
     discovery_calls,
-    /// Discovery calls that were never answered and were made again at once.
+    /// Calls to discovery that were never answered and were repeated at once.
     discovery_silent,
-    /// Discovery calls that failed.
+    /// Calls to discovery that failed.
     discovery_failures,
-    /// Lists of discovery that paused while they arrived.
+    /// Endpoint lists that stalled while they were received.
     discovery_stalled,
-    /// Discovery answers that could not be read.
+    /// Responses of discovery that could not be parsed.
     discovery_bad,
-    /// Lists of an older version than the one held; of those only what they bar was taken.
+    /// Endpoint lists of an older version than the current one; only the exclusions of such a list are applied.
     discovery_older,
-    /// New configurations taken over.
+    /// Configurations applied on reload.
     reloads,
-    /// New configurations that could not be read; the old one was kept.
+    /// Configurations rejected on reload; the previous one stayed in force.
     reload_failures,
-    /// Invariants found broken.
+    /// Invariant violations.
     invariants_broken,
 }
 
 impl Counters {
-    /// A notice that bars a backend server took so long from its arrival until it was in force.
+    /// Records the time from the arrival of a notification that excludes an endpoint to its exclusion.
     pub fn record_exclusion_delay(&self, time: Duration) {
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         self.bar_delay_longest_us.set(self.bar_delay_longest_us.get().max(micros));
     }
 }
 
-/// Adds one.
+/// Increments a counter.
 pub fn count(counter: &Cell<u64>) {
     counter.set(counter.get().saturating_add(1));
 }
 
-/// Checks what must hold: asserted in debug builds, counted in release builds.
+/// Checks an invariant: a violation panics in debug builds and is counted in release builds.
 pub fn invariant(counters: &Counters, holds: bool, what: &str) {
     debug_assert!(holds, "invariant broken: {what}");
     if !holds {
--- a/crates/sidecar/src/lifecycle.rs
+++ b/crates/sidecar/src/lifecycle.rs
@@ -1,46 +1,48 @@
-//! The life of a sidecar: starting, serving, draining and back, leaving, gone. [`LifecycleState`] is told what happens and
-//! when, and knows no socket; [`Lifecycle`] asks it with the clock in hand and wakes who waits.
+//! The lifecycle of a sidecar: start, service, draining (which can be revoked), shutdown. [`LifecycleState`] is a state
+//! machine without I/O or clock; [`Lifecycle`] supplies the time and wakes the tasks that wait for a change.
 
 use cometcroft_platform::Platform;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Whoever sends SIGTERM waits for the longest deadline, counted as this if it is longer, ...
-const LONGEST: Duration = Duration::from_secs(3);
-/// ... and for this before SIGKILL. Until then the front may go on sending new connections.
-const NOTICE: Duration = Duration::from_millis(700);
-/// A request that came after the notice is answered so long before SIGKILL may come.
-const SPARE: Duration = Duration::from_millis(300);
-/// Time for the last requests that are taken, before that.
-const LAST: Duration = Duration::from_millis(900);
-/// What was sent so long ago may be read only now.
-const LATE: Duration = Duration::from_millis(100);
-/// New requests are taken for so long at the least, ...
-const LINGER: Duration = Duration::from_millis(1000);
-/// ... but not in the last part of the time before SIGKILL: the last ones are answered and their connections end in it.
-const ENDING: Duration = Duration::from_millis(400);
-/// After a drain's start, new connections come for so long; then answers end their connections.
-const ARRIVING: Duration = Duration::from_millis(300);
-/// Idle connections close between these times after a drain's start, ...
-const DRAINED: [Duration; 2] = [Duration::from_millis(400), Duration::from_millis(1600)];
-/// ... and after SIGTERM where a successor accepts already.
-const HANDED_OVER: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(1200)];
-/// Without a list that discovery has confirmed clients are wanted after this time: a process that has been restarted is to be
-/// ready within 6 s, ...
-const UNCONFIRMED: Duration = Duration::from_millis(5000);
-/// ... and one that has a predecessor after this, ...
-const UNTOLD: Duration = Duration::from_millis(2500);
-/// ... and accepts after this, as nobody else may be there to say that nothing can be served.
-const ALONE: Duration = Duration::from_millis(3000);
-
-/// What has happened to a sidecar, and what follows from it.
+/// SIGKILL follows SIGTERM after the longest client deadline, of which at most this much counts, plus [`NOTICE_PERIOD`].
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Added to the longest deadline before SIGKILL. During this period new connections may still be routed to this process.
+const NOTICE_PERIOD: Duration = Duration::from_millis(700);
+/// Requests that arrive after the notice period are answered at least this long before the earliest SIGKILL.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(300);
+/// Time reserved for the last accepted requests, before [`RESPONSE_MARGIN`].
+const LAST_REQUESTS: Duration = Duration::from_millis(900);
+/// Bytes that were sent this long ago may be read only now.
+const READ_DELAY: Duration = Duration::from_millis(100);
+/// Minimum time for which new requests are accepted after SIGTERM, unless [`CLOSING_TIME`] cuts it short.
+const MIN_LINGER: Duration = Duration::from_millis(1000);
+/// Last part of the time before SIGKILL, in which no new requests are accepted: pending ones are answered and their
+/// connections closed.
+const CLOSING_TIME: Duration = Duration::from_millis(400);
+/// After the start of a drain new connections may arrive for this long; responses then close their connections.
+const DRAIN_ARRIVALS: Duration = Duration::from_millis(300);
+/// Idle connections are closed between these times after the start of a drain.
+const DRAIN_IDLE_CLOSE: [Duration; 2] = [Duration::from_millis(400), Duration::from_millis(1600)];
+/// Idle connections are closed between these times after SIGTERM where a successor already accepts connections.
+const HANDOVER_IDLE_CLOSE: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(1200)];
+/// Without an endpoint list that discovery has confirmed, the sidecar becomes ready this long after its start: a restarted
+/// process must be ready within 6 s.
+const READY_UNCONFIRMED: Duration = Duration::from_millis(5000);
+/// The same where a predecessor may still serve; the sidecar then also starts to accept connections.
+const READY_UNCONFIRMED_SHARED: Duration = Duration::from_millis(2500);
+/// Beside a predecessor, a sidecar without any endpoint accepts connections after this time: there may be no other process
+/// left to tell clients that nothing can be served.
+const ACCEPT_WITHOUT_ENDPOINTS: Duration = Duration::from_millis(3000);
+
+/// The state of a sidecar's lifecycle and the times that follow from it.
 #[derive(Debug, Clone, Copy)]
 pub struct LifecycleState {
     started: Instant,
-    /// The listening socket is inherited: a predecessor may still read it, and a successor may already.
+    /// The listening socket is inherited: a predecessor may still accept from it, and a successor may already.
     shares_listener: bool,
-    /// The earliest time of SIGKILL after SIGTERM.
+    /// Time from SIGTERM to the earliest SIGKILL.
     kill_after: Duration,
     has_endpoints: bool,
     list_confirmed: bool,
@@ -49,13 +51,13 @@
 }
 
 impl LifecycleState {
-    /// One that starts now, where clients wait for `longest` at most.
-    pub fn new(now: Instant, longest: Duration, shared: bool) -> LifecycleState {
-        let kill = longest.min(LONGEST) + NOTICE;
+    /// The state of a sidecar that starts now. `max_deadline` is the longest deadline of a client.
+    pub fn new(now: Instant, max_deadline: Duration, shares_listener: bool) -> LifecycleState {
+        let kill_after = max_deadline.min(MAX_COUNTED_DEADLINE) + NOTICE_PERIOD;
         LifecycleState {
             started: now,
-            shares_listener: shared,
-            kill_after: kill,
+            shares_listener,
+            kill_after,
             has_endpoints: false,
             list_confirmed: false,
             drain_started: None,
@@ -63,154 +65,160 @@
         }
     }
 
-    /// Clients wait for `longest` at most. Danger: whoever has sent SIGTERM counts from there by what was in force then, so
-    /// after it the time only gets shorter.
-    pub fn set_max_deadline(&mut self, longest: Duration) {
-        let kill = longest.min(LONGEST) + NOTICE;
-        self.kill_after = if self.is_shutting_down() { kill.min(self.kill_after) } else { kill };
+    /// Sets the longest deadline of a client. After SIGTERM the time until SIGKILL can only get shorter: the sender of the
+    /// signal derives it from the settings that were in force when it sent SIGTERM.
+    pub fn set_max_deadline(&mut self, max_deadline: Duration) {
+        let kill_after = max_deadline.min(MAX_COUNTED_DEADLINE) + NOTICE_PERIOD;
+        self.kill_after = if self.is_shutting_down() { kill_after.min(self.kill_after) } else { kill_after };
     }
 
-    /// Another process may read the listening socket.
+    /// Whether another process may accept from the listening socket.
     pub fn shares_listener(&self) -> bool {
         self.shares_listener
     }
 
-    /// The list of backend servers is known, or known to be empty; `fresh` if it holds by what discovery said to this process.
-    pub fn record_list(&mut self, any: bool, fresh: bool) {
-        self.has_endpoints = any;
-        self.list_confirmed |= fresh;
+    /// Records a change of the endpoint list: whether it has entries, and whether discovery has confirmed it to this process.
+    pub fn record_list(&mut self, has_endpoints: bool, confirmed: bool) {
+        self.has_endpoints = has_endpoints;
+        self.list_confirmed |= confirmed;
     }
 
-    /// Clients are to be sent away. Once it has begun, a second call changes nothing.
+    /// Starts a drain: clients are to use another sidecar. Has no effect while a drain is in progress.
     pub fn start_drain(&mut self, now: Instant) {
         self.drain_started.get_or_insert(now);
     }
 
-    /// The end of that.
+    /// Ends the drain.
     pub fn stop_drain(&mut self) {
         self.drain_started = None;
     }
 
-    /// SIGTERM has come.
+    /// Starts the shutdown, as on SIGTERM. Later calls have no effect.
     pub fn begin_shutdown(&mut self, now: Instant) {
         self.shutdown_started.get_or_insert(now);
     }
 
-    /// SIGTERM has come.
+    /// Whether the shutdown has started.
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown_started.is_some()
     }
 
-    /// Clients are wanted: what `/up` and readiness say.
+    /// Whether clients may be routed to this sidecar: the response of `/up` and of the readiness call.
     pub fn is_ready(&self, now: Instant) -> bool {
-        let without = if self.shares_listener { UNTOLD } else { UNCONFIRMED };
-        let confirmed = self.list_confirmed || now >= self.started + without;
+        let unconfirmed_after =
+            if self.shares_listener { READY_UNCONFIRMED_SHARED } else { READY_UNCONFIRMED };
+        let confirmed = self.list_confirmed || now >= self.started + unconfirmed_after;
         self.has_endpoints && confirmed && self.drain_started.is_none() && self.shutdown_started.is_none()
     }
 
-    /// When the listening socket is read from. Danger: who accepts before it can serve takes clients from the
-    /// predecessor that could.
+    /// When the sidecar starts to accept connections. Beside a predecessor it waits until it can serve: accepting earlier
+    /// would take clients from a process that can serve them.
     pub fn accepts_from(&self) -> Instant {
         match (self.shares_listener, self.has_endpoints, self.list_confirmed) {
             (false, ..) | (true, true, true) => self.started,
-            (true, true, false) => self.started + UNTOLD,
-            (true, false, _) => self.started + ALONE,
+            (true, true, false) => self.started + READY_UNCONFIRMED_SHARED,
+            (true, false, _) => self.started + ACCEPT_WITHOUT_ENDPOINTS,
         }
     }
 
-    /// When the listening socket is let go. Danger: with nobody else on it clients would be left with none; but where
-    /// a successor reads it too, what is taken from it now is taken for nothing.
+    /// When the sidecar stops accepting connections. Without a successor it keeps accepting for a while, as clients would
+    /// otherwise find no listener. It stops at once where a successor accepts from the same socket and needs no help.
     pub fn accepts_until(&self) -> Option<Instant> {
         self.shutdown_started.map(|at| if self.shares_listener { at } else { at + self.linger() })
     }
 
-    /// Whether an answer ends its connection.
+    /// Whether a response closes its connection.
     pub fn closes_connections(&self, now: Instant) -> bool {
         self.accepts_until().is_some_and(|at| now >= at)
-            || self.drain_started.is_some_and(|at| now >= at + ARRIVING)
+            || self.drain_started.is_some_and(|at| now >= at + DRAIN_ARRIVALS)
     }
 
-    /// When a connection with no open request closes; `place` between 0 and 1 spreads them. Danger: all at once, every
-    /// client would connect anew in the same instant.
-    pub fn idle_close_at(&self, place: f64) -> Option<Instant> {
-        let within = |at: Instant, [from, to]: [Duration; 2]| at + from + (to - from).mul_f64(place);
-        let drained = self.drain_started.map(|at| within(at, DRAINED));
-        let left = self.shutdown_started.map(|at| match self.shares_listener {
-            true => within(at, HANDED_OVER).min(at + self.before_ending()),
+    /// When an idle connection is closed. `spread`, between 0 and 1, distributes the connections over a period, so that
+    /// the clients do not all reconnect at the same moment.
+    pub fn idle_close_at(&self, spread: f64) -> Option<Instant> {
+        let within = |at: Instant, [from, to]: [Duration; 2]| at + from + (to - from).mul_f64(spread);
+        let drained = self.drain_started.map(|at| within(at, DRAIN_IDLE_CLOSE));
+        let shut_down = self.shutdown_started.map(|at| match self.shares_listener {
+            true => within(at, HANDOVER_IDLE_CLOSE).min(at + self.time_to_close()),
             false => at + self.linger(),
         });
-        drained.into_iter().chain(left).min()
+        drained.into_iter().chain(shut_down).min()
     }
 
-    /// When a request that comes now is to be answered at the latest. Danger: SIGKILL loses what came after the
-    /// notice and is unanswered, whatever time its client has left.
+    /// Latest time for the response to a request that arrives now, if the shutdown limits it. A request that arrives after
+    /// the notice period and is unanswered at SIGKILL would be lost, however much time its client has left.
     pub fn response_deadline(&self, now: Instant) -> Option<Instant> {
-        let begun = self.shutdown_started?;
-        // A little early, as its clock and ours may be read at different moments.
-        (now.saturating_duration_since(begun) + LATE >= NOTICE).then(|| begun + self.before_spare())
+        let shutdown_started = self.shutdown_started?;
+        // `READ_DELAY` is a margin: the request was sent before it is read, and the sender of SIGTERM may have read its clock
+        // at another moment.
+        (now.saturating_duration_since(shutdown_started) + READ_DELAY >= NOTICE_PERIOD)
+            .then(|| shutdown_started + self.time_to_respond())
     }
 
-    /// When all is answered at the latest, whenever it came: what a hanging backend server owes until after SIGKILL would get
-    /// no answer at all.
+    /// Latest time for the responses to all requests, whenever they arrived: a request at an endpoint that hangs until after
+    /// SIGKILL would get no response at all.
     pub fn final_response_deadline(&self) -> Option<Instant> {
-        self.shutdown_started.map(|begun| begun + self.before_spare())
+        self.shutdown_started.map(|at| at + self.time_to_respond())
     }
 
-    /// So long after SIGTERM requests are taken where there is no successor: clients keep the connections that they
-    /// have, and in their zone there may be nobody else for now.
+    /// Time after SIGTERM for which requests are accepted where there is no successor: clients keep their connections, and
+    /// there may be no other sidecar in their zone for now.
     fn linger(&self) -> Duration {
-        // Danger: with short deadlines SIGKILL comes soon, and would find requests on connections that are still open.
-        self.kill_after.saturating_sub(SPARE + LAST).max(LINGER).min(self.before_ending())
+        // With short deadlines SIGKILL comes so early that without the upper bound it would hit requests on open connections.
+        self.kill_after
+            .saturating_sub(RESPONSE_MARGIN + LAST_REQUESTS)
+            .max(MIN_LINGER)
+            .min(self.time_to_close())
     }
 
-    /// The time from SIGTERM within which all is answered.
-    fn before_spare(&self) -> Duration {
-        self.kill_after.saturating_sub(SPARE)
+    /// Time from SIGTERM within which all requests are answered.
+    fn time_to_respond(&self) -> Duration {
+        self.kill_after.saturating_sub(RESPONSE_MARGIN)
     }
 
-    /// The time from SIGTERM within which connections may stay open.
-    fn before_ending(&self) -> Duration {
-        self.kill_after.saturating_sub(ENDING)
+    /// Time from SIGTERM for which connections may stay open.
+    fn time_to_close(&self) -> Duration {
+        self.kill_after.saturating_sub(CLOSING_TIME)
     }
 }
 
-/// The driver of a [`LifecycleState`].
+/// The lifecycle of a running sidecar: a [`LifecycleState`] with a clock, and notifications of its changes.
 pub struct Lifecycle<P: Platform> {
     platform: P,
-    machine: Cell<LifecycleState>,
+    state: Cell<LifecycleState>,
     changed: Notify,
 }
 
 impl<P: Platform> Lifecycle<P> {
-    /// A sidecar that starts now. `shared`: its listening socket is inherited.
-    pub fn new(platform: P, longest: Duration, shared: bool) -> Lifecycle<P> {
-        let machine = Cell::new(LifecycleState::new(platform.now(), longest, shared));
-        Lifecycle { platform, machine, changed: Notify::new() }
+    /// The lifecycle of a sidecar that starts now. `shares_listener`: the listening socket is inherited.
+    pub fn new(platform: P, max_deadline: Duration, shares_listener: bool) -> Lifecycle<P> {
+        let state = Cell::new(LifecycleState::new(platform.now(), max_deadline, shares_listener));
+        Lifecycle { platform, state, changed: Notify::new() }
     }
 
-    /// Tells the machine something, with the time.
-    pub fn update(&self, what: impl FnOnce(&mut LifecycleState, Instant)) {
-        let mut machine = self.machine.get();
-        what(&mut machine, self.platform.now());
-        self.machine.set(machine);
+    /// Changes the state with the current time, and wakes the waiting tasks.
+    pub fn update(&self, change: impl FnOnce(&mut LifecycleState, Instant)) {
+        let mut state = self.state.get();
+        change(&mut state, self.platform.now());
+        self.state.set(state);
         self.changed.notify_waiters();
     }
 
-    /// SIGTERM has come.
+    /// Starts the shutdown, as on SIGTERM.
     pub fn begin_shutdown(&self) {
         self.update(LifecycleState::begin_shutdown);
     }
 
-    /// What the machine says now.
-    pub fn query<T>(&self, what: impl FnOnce(&LifecycleState, Instant) -> T) -> T {
-        what(&self.machine.get(), self.platform.now())
+    /// Evaluates `query` on the state at the current time.
+    pub fn query<T>(&self, query: impl FnOnce(&LifecycleState, Instant) -> T) -> T {
+        query(&self.state.get(), self.platform.now())
     }
 
-    /// Waits for the time that the machine gives, however often it changes.
-    pub async fn wait_until(&self, reached: impl Fn(&LifecycleState) -> Option<Instant>) {
+    /// Waits for the time that `deadline` derives from the state; it is derived again after each change.
+    pub async fn wait_until(&self, deadline: impl Fn(&LifecycleState) -> Option<Instant>) {
         loop {
             let changed = self.changed.notified();
-            match reached(&self.machine.get()) {
+            match deadline(&self.state.get()) {
                 Some(at) if at <= self.platform.now() => return,
                 Some(at) => tokio::select! {
                     biased;
@@ -222,7 +230,7 @@
         }
     }
 
-    /// Waits for SIGTERM.
+    /// Waits until the shutdown starts.
     pub async fn shutdown_begun(&self) {
         self.wait_until(|state| state.shutdown_started).await;
     }
--- a/crates/sidecar/src/request_stats.rs
+++ b/crates/sidecar/src/request_stats.rs
@@ -1,120 +1,122 @@
-//! What the operators' figures count: for each class by name, what came of its requests. Counted where a final answer is
-//! given and where a dispatch's last byte is written, and nowhere else.
+//! Statistics for the operations endpoint: the outcomes of requests, by class name. They are updated only where a final
+//! response is given and where the last byte of an attempt is written.
 
 use cometcroft::ClassId;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// Names of classes that are kept at most; of classes that are gone, those gone longest make room.
-const NAMES: usize = 256;
+/// Maximum number of classes that are kept. Of the classes that are no longer configured, the one removed longest ago is
+/// dropped first.
+const MAX_CLASSES: usize = 256;
 
-/// What came of the requests of one class, since the process started.
+/// Outcomes of the requests of one class since the process started. The field names are keys of the JSON object.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct ClassStats {
-    /// Requests served.
+    /// Requests answered with the response of an endpoint.
     pub fulfilled: u64,
-    /// Requests refused.
+    /// Requests rejected.
     pub throttled: u64,
-    /// Requests failed.
+    /// Requests that failed.
     pub faulted: u64,
-    /// Dispatches written whole to a backend server.
+    /// Attempts sent completely to an endpoint.
     pub relayed: u64,
 }
 
-/// All figures, as the door gives them.
+/// The response of the operations endpoint to a call for statistics. The field names are keys of the JSON object.
 #[derive(Debug, Serialize)]
 pub struct StatsReport {
-    /// By class.
+    /// Outcomes by class name.
     pub operations: BTreeMap<String, ClassStats>,
-    /// Dispatches written whole to a backend server, of all classes.
+    /// Attempts sent completely to an endpoint, of all classes.
     pub relayed: u64,
-    /// Requests taken and not yet ended.
+    /// Open requests.
     pub open_requests: u64,
-    /// Backend servers in the list.
+    /// Entries of the endpoint list.
     pub registry_entries: usize,
-    /// Time since discovery last confirmed the list; none if it has not since the start.
+    /// Time since discovery last confirmed the list, in milliseconds; `None` if it has not done so since the start.
     pub registry_age_ms: Option<u64>,
-    /// The longest time from the arrival of a notice that bars a backend server until it was in force, in microseconds.
+    /// Longest time from the arrival of a notification that excludes an endpoint to its exclusion, in microseconds.
     pub bar_delay_longest_us: u64,
-    /// Attempts stopped before their first byte as their backend server had been barred meanwhile.
+    /// Attempts stopped before their first byte because their endpoint had been excluded in the meantime.
     pub late_sends_barred: u64,
-    /// Listed backend servers that are avoided now.
+    /// Listed endpoints that are avoided at present.
     pub out_of_rotation: usize,
-    /// Files taken over at SIGHUP.
+    /// Configurations applied on SIGHUP.
     pub cfg_accepted: u64,
-    /// Files turned down at SIGHUP.
+    /// Configurations rejected on SIGHUP.
     pub cfg_invalid: u64,
 }
 
-/// The classes of all classes that there were, and the requests that are open.
+/// Statistics of the current and former classes, and the number of open requests.
 #[derive(Debug, Default)]
 pub struct RequestStats {
-    /// With the turn in which each class was last in force.
+    /// By class name, with the revision of the configuration in which the class was last present.
     classes: RefCell<BTreeMap<String, (u64, ClassStats)>>,
-    turn: Cell<u64>,
-    /// The names of the classes, by number.
+    revision: Cell<u64>,
+    /// The class names, indexed by [`ClassId`].
     names: RefCell<Vec<String>>,
     open: Cell<u64>,
     relayed: Cell<u64>,
 }
 
 impl RequestStats {
-    /// The classes are called so from now on. What was counted under a name stays.
+    /// Sets the names of the configured classes. The statistics of former classes are kept.
     pub fn set_class_names(&self, names: &[String]) {
         let mut classes = self.classes.borrow_mut();
-        let turn = self.turn.get() + 1;
-        self.turn.set(turn);
+        let revision = self.revision.get() + 1;
+        self.revision.set(revision);
         for name in names {
-            classes.entry(name.clone()).or_default().0 = turn;
+            classes.entry(name.clone()).or_default().0 = revision;
         }
-        // Danger: files that bring ever new names must not fill the memory.
-        while classes.len() > NAMES.max(names.len()) {
-            let gone = classes.iter().min_by_key(|(_, (turn, _))| *turn).map(|(name, _)| name.clone());
-            gone.and_then(|gone| classes.remove(&gone));
+        // Configurations that keep introducing new names must not exhaust the memory.
+        while classes.len() > MAX_CLASSES.max(names.len()) {
+            let oldest =
+                classes.iter().min_by_key(|(_, (revision, _))| *revision).map(|(name, _)| name.clone());
+            oldest.and_then(|oldest| classes.remove(&oldest));
         }
         *self.names.borrow_mut() = names.to_vec();
     }
 
-    /// Counts something for a class.
-    pub fn increment(&self, class: ClassId, what: impl FnOnce(&mut ClassStats) -> &mut u64) {
+    /// Increments the counter of a class that `counter` selects.
+    pub fn increment(&self, class: ClassId, counter: impl FnOnce(&mut ClassStats) -> &mut u64) {
         let names = self.names.borrow();
         let mut classes = self.classes.borrow_mut();
         if let Some((_, stats)) = names.get(class.0).and_then(|name| classes.get_mut(name)) {
-            let counted = what(stats);
-            *counted = counted.saturating_add(1);
+            let count = counter(stats);
+            *count = count.saturating_add(1);
         }
     }
 
-    /// A dispatch of this class has been written whole.
+    /// Counts an attempt of this class that was sent completely.
     pub fn record_relayed(&self, class: ClassId) {
         self.relayed.set(self.relayed.get() + 1);
         self.increment(class, |stats| &mut stats.relayed);
     }
 
-    /// The classes, by class.
+    /// The statistics by class name.
     pub fn by_class(&self) -> BTreeMap<String, ClassStats> {
         self.classes.borrow().iter().map(|(name, (_, stats))| (name.clone(), *stats)).collect()
     }
 
-    /// Dispatches written whole to a backend server, of all classes that there ever were.
+    /// Attempts sent completely to an endpoint, of all current and former classes.
     pub fn relayed(&self) -> u64 {
         self.relayed.get()
     }
 
-    /// Requests taken and not yet ended.
+    /// The number of open requests.
     pub fn open_requests(&self) -> u64 {
         self.open.get()
     }
 
-    /// A request has been taken; it has ended when what this gives is dropped.
+    /// Counts a request as open until the returned guard is dropped.
     pub fn begin_request(&self) -> OpenRequest<'_> {
         self.open.set(self.open.get() + 1);
         OpenRequest(self)
     }
 }
 
-/// An open request.
+/// A guard that counts a request as open.
 #[derive(Debug)]
 pub struct OpenRequest<'a>(&'a RequestStats);
 
--- a/crates/sidecar/src/sockets.rs
+++ b/crates/sidecar/src/sockets.rs
@@ -1,21 +1,21 @@
-//! What failed calls on sockets mean for the service.
+//! Handling of errors of socket calls.
 
 use cometcroft_platform::Stream;
 use std::io;
 
-/// The process has no descriptor left (EMFILE).
-const PROCESS_LIMIT: i32 = 24;
-/// The machine has no descriptor left (ENFILE).
-const MACHINE_LIMIT: i32 = 23;
+/// The process has reached its limit of open file descriptors.
+const EMFILE: i32 = 24;
+/// The host has reached its limit of open file descriptors.
+const ENFILE: i32 = 23;
 
-/// Asks the system to send small writes at once. Where it cannot (EINVAL on a connection that is just being reset, ENOBUFS), a
-/// connection is slower and nothing else, so that is no reason to close one that may bring a request.
+/// Has small writes sent without delay. An error (EINVAL on a connection that is just being reset, ENOBUFS) is ignored: the
+/// connection is slower without it, which is no reason to close it, as it may carry a request.
 pub fn enable_nodelay<S: Stream>(stream: &S) {
     let _ = stream.set_nodelay();
 }
 
-/// Whether an accept failed for lack of a descriptor, so that closing a connection helps. A peer that has left
-/// (ECONNABORTED, EPROTO), a firewall (EPERM) and a lack of memory (ENOBUFS, ENOMEM) are not helped by it.
+/// Whether an accept failed for lack of a file descriptor, so that closing a connection helps. It does not help after a
+/// disconnected client (ECONNABORTED, EPROTO), a firewall rule (EPERM) or a lack of memory (ENOBUFS, ENOMEM).
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
-    matches!(error.raw_os_error(), Some(PROCESS_LIMIT | MACHINE_LIMIT))
+    matches!(error.raw_os_error(), Some(EMFILE | ENFILE))
 }
--- a/crates/sidecar/src/start_clock.rs
+++ b/crates/sidecar/src/start_clock.rs
@@ -1,74 +1,77 @@
-//! When endpoints started, on the module's monotonic clock. Discovery tells starts as Unix times, and the wall clock that they
-//! were read from may step while the sidecar runs. No I/O.
+//! Start times of endpoints on the module's monotonic clock. Discovery reports them as Unix times, and the wall clock may be
+//! stepped while the sidecar runs. No I/O.
 
 use cometcroft::Time;
 use std::cell::RefCell;
 use std::time::Duration;
 
-/// Both clocks drift apart by less than this between two looks; more is a step of the wall clock.
-const STEP_MS: i128 = 250;
-/// So many offsets of the wall clock are remembered.
-const MAX_EPOCHS: usize = 8;
+/// The clocks drift apart by less than this between two observations; a larger difference is a step of the wall clock.
+const MIN_STEP_MS: i128 = 250;
+/// Maximum number of offsets of the wall clock that are kept.
+const MAX_PERIODS: usize = 8;
 
-/// A time in which the wall clock ran without a step.
+/// A period between two steps of the wall clock.
 #[derive(Debug, Clone, Copy)]
-struct Epoch {
-    /// The earliest moment at which it may have begun; the first has always been.
+struct OffsetPeriod {
+    /// The earliest time at which the period may have begun; `None` for the first one.
     from_ms: Option<i128>,
-    /// When it was last looked at.
+    /// When the clocks were last compared in this period.
     seen_ms: i128,
-    /// The module's clock at the Unix epoch.
+    /// The module's clock minus the wall clock.
     offset_ms: i128,
 }
 
-/// Turns Unix times of starts into times of the module's clock.
+/// Converts start times from Unix time to the module's clock.
 #[derive(Debug)]
 pub struct StartClock {
-    epochs: RefCell<Vec<Epoch>>,
+    periods: RefCell<Vec<OffsetPeriod>>,
 }
 
 impl StartClock {
-    /// `now` is the module's clock at this moment, and `unix` the time since the Unix epoch.
+    /// Starts with one reading of both clocks: `now` of the module's clock, `unix` the time since the Unix epoch.
     pub fn new(now: Time, unix: Duration) -> StartClock {
         let now_ms = now.as_millis() as i128;
-        let first = Epoch { from_ms: None, seen_ms: now_ms, offset_ms: now_ms - unix.as_millis() as i128 };
-        StartClock { epochs: RefCell::new(vec![first]) }
+        let first =
+            OffsetPeriod { from_ms: None, seen_ms: now_ms, offset_ms: now_ms - unix.as_millis() as i128 };
+        StartClock { periods: RefCell::new(vec![first]) }
     }
 
-    /// Compares both clocks again. An offset is kept until the wall clock steps, so that a start keeps its time.
+    /// Compares the clocks again. The offset is kept until the wall clock is stepped, so that start times do not move.
     pub fn observe(&self, now: Time, unix: Duration) {
         let now_ms = now.as_millis() as i128;
         let offset_ms = now_ms - unix.as_millis() as i128;
-        let mut epochs = self.epochs.borrow_mut();
-        let Some(last) = epochs.last_mut() else { return };
-        if (offset_ms - last.offset_ms).abs() < STEP_MS {
+        let mut periods = self.periods.borrow_mut();
+        let Some(last) = periods.last_mut() else { return };
+        if (offset_ms - last.offset_ms).abs() < MIN_STEP_MS {
             last.seen_ms = now_ms;
             return;
         }
         let from_ms = Some(last.seen_ms);
-        // The step came at some time since the last look.
+        // The step happened at some time since the last comparison.
         last.seen_ms = now_ms;
-        epochs.push(Epoch { from_ms, seen_ms: now_ms, offset_ms });
-        if epochs.len() > MAX_EPOCHS {
-            epochs.remove(0);
+        periods.push(OffsetPeriod { from_ms, seen_ms: now_ms, offset_ms });
+        if periods.len() > MAX_PERIODS {
+            periods.remove(0);
         }
     }
 
-    /// When an endpoint started that says so in Unix time; `None` where that was long ago. Where several offsets of the wall
-    /// clock fit, the latest time counts: an endpoint is rather taken to be cold for too long than for too short.
+    /// The start time of an endpoint, from its Unix time in milliseconds; `None` if it started long ago. Where several
+    /// offsets of the wall clock fit, the latest time is taken: it is safer to treat an endpoint as cold for too long than
+    /// for too short a time.
     pub fn start_time(&self, since_ms: i64) -> Option<Time> {
         if since_ms <= 0 {
             return None;
         }
-        let epochs = self.epochs.borrow();
-        let now_ms = epochs.last()?.seen_ms;
-        let at = |epoch: &Epoch| i128::from(since_ms) + epoch.offset_ms;
-        let fits =
-            |epoch: &&Epoch| epoch.from_ms.is_none_or(|from| at(epoch) >= from) && at(epoch) <= epoch.seen_ms;
-        let fitting = epochs.iter().filter(fits).map(at).max();
-        // Its own clock may be ahead of ours.
-        let started_ms = fitting.unwrap_or_else(|| epochs.last().map_or(now_ms, at).min(now_ms));
-        // A start before the module's clock began was long ago.
+        let periods = self.periods.borrow();
+        let now_ms = periods.last()?.seen_ms;
+        let at = |period: &OffsetPeriod| i128::from(since_ms) + period.offset_ms;
+        let fits = |period: &&OffsetPeriod| {
+            period.from_ms.is_none_or(|from| at(period) >= from) && at(period) <= period.seen_ms
+        };
+        let fitting = periods.iter().filter(fits).map(at).max();
+        // The endpoint's clock may be ahead of the sidecar's.
+        let started_ms = fitting.unwrap_or_else(|| periods.last().map_or(now_ms, at).min(now_ms));
+        // A start before the origin of the module's clock was long ago.
         u64::try_from(started_ms).ok().filter(|&ms| ms > 0).map(Duration::from_millis)
     }
 }
