--- a/crates/sidecar/src/active_settings.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -5,7 +5,7 @@
 use crate::endpoint_table::EndpointTable;
 use crate::fleet::Fleet;
 use crate::frontend::{Frontend, HttpTransport};
-use crate::lifecycle::Life;
+use crate::lifecycle::Lifecycle;
 use crate::pool::ConnectionPool;
 use crate::requests::RequestDriver;
 use cometcroft::{Event, ListScope, Settings};
@@ -19,7 +19,7 @@
     pub host: Rc<RequestDriver<C>>,
     pub endpoints: Rc<EndpointTable>,
     pub pool: Rc<ConnectionPool<C::Platform>>,
-    pub life: Rc<Life<C::Platform>>,
+    pub lifecycle: Rc<Lifecycle<C::Platform>>,
     pub fields: Rc<RefCell<Rc<[Field]>>>,
     pub fleet: Option<Rc<Fleet<C::Platform>>>,
     /// What the file says, but for what is the fleet's to tell; kept where there is a fleet.
@@ -29,8 +29,8 @@
 impl<C: HttpTransport> ActiveSettings<C> {
     /// A new file. One step: nothing is awaited between the first and the last of these.
     pub fn apply_file(&self, config: Config) {
-        self.life.tell(|machine, _| machine.longest(config.longest_deadline()));
-        let Config { settings, net, fields, .. } = config;
+        self.lifecycle.update(|state, _| state.set_max_deadline(config.max_deadline()));
+        let Config { settings, network: net, load_report_fields: fields, .. } = config;
         self.endpoints.set_zones(net.zones.clone());
         self.pool.apply_settings(net.idle, net.connect_timeout);
         self.fields.replace(fields.into());
--- a/crates/sidecar/src/discovery/call.rs
+++ b/crates/sidecar/src/discovery/call.rs
@@ -6,7 +6,7 @@
 use crate::endpoint_list::{EndpointList, EndpointRecord, ListError, ListReader};
 use crate::http::client::{self, ResponseReader};
 use crate::http::{BodyPiece, ParseError};
-use crate::sockets::send_promptly;
+use crate::sockets::enable_nodelay;
 use bytes::{Bytes, BytesMut};
 use cometcroft_platform::{Elapsed, Platform, Stream};
 use std::cell::RefCell;
@@ -159,7 +159,7 @@
         Some(stream) => stream,
         None => platform.timeout(CONNECT, platform.connect(question.address)).await??,
     };
-    send_promptly(&stream);
+    enable_nodelay(&stream);
     stream.write_all(&client::encode_get(&question.target, "discovery")).await?;
     Ok(stream)
 }
--- a/crates/sidecar/src/endpoint_table.rs
+++ b/crates/sidecar/src/endpoint_table.rs
@@ -287,8 +287,8 @@
             }
             // Danger: the module takes another start for another process, so one that is told again keeps its time.
             let same = entries.get(&id).filter(|entry| entry.since_ms == record.since_ms);
-            let started =
-                same.map_or_else(|| self.start_clock.started(record.since_ms), |entry| entry.listed.started);
+            let started = same
+                .map_or_else(|| self.start_clock.start_time(record.since_ms), |entry| entry.listed.started);
             let mut entry = self.entry(id, record, started);
             if barred && entry.state == EndpointState::Ready {
                 entry.state = EndpointState::Draining;
--- a/crates/sidecar/src/frontend/connection.rs
+++ b/crates/sidecar/src/frontend/connection.rs
@@ -4,8 +4,8 @@
 use super::{ConnectionSlot, Frontend, HttpTransport, StreamOf, WaitingConnection};
 use crate::counters::count;
 use crate::http::server::{Connection, Status, Step};
-use crate::lifecycle::Machine;
-use crate::sockets::send_promptly;
+use crate::lifecycle::LifecycleState;
+use crate::sockets::enable_nodelay;
 use crate::upload::{ReadTimeout, Upload};
 use cometcroft_platform::{Platform, Stream};
 use std::io;
@@ -27,7 +27,7 @@
         mut stream: StreamOf<T>,
         seat: &mut ConnectionSlot<T>,
     ) -> io::Result<()> {
-        send_promptly(&stream);
+        enable_nodelay(&stream);
         let mut machine = Connection::default();
         let connected = self.platform.now();
         let (mut since, mut first) = (connected, true);
@@ -123,12 +123,13 @@
         self.waiting.borrow_mut().insert(turn, WaitingConnection { wake: wake.clone(), owes });
         // Danger: a connection that was let in just now brings a request that nobody has read.
         let grace = owes.map(|since| since + GRACE);
-        let retired = |machine: &Machine| machine.idle_until(place).map(|at| grace.map_or(at, |g| at.max(g)));
+        let retired =
+            |state: &LifecycleState| state.idle_close_at(place).map(|at| grace.map_or(at, |g| at.max(g)));
         let read = tokio::select! {
             biased;
             read = stream.read_buf(machine.buffer()) => read.map(|n| if n > 0 { Read::Bytes(n) } else { Read::Closed }),
             () = wake.notified() => Ok(Read::Evicted),
-            () = self.life.until(retired), if idle => Ok(Read::ShuttingDown),
+            () = self.lifecycle.wait_until(retired), if idle => Ok(Read::ShuttingDown),
             () = self.platform.sleep_until(until), if owes.is_some() => {
                 count(&self.counters.frontend_mute);
                 Ok(Read::TimedOut)
--- a/crates/sidecar/src/frontend/mod.rs
+++ b/crates/sidecar/src/frontend/mod.rs
@@ -13,9 +13,9 @@
 use crate::counters::{Counters, count};
 use crate::exchange::EndpointResponse;
 use crate::fleet::Fleet;
-use crate::lifecycle::{Life, Machine};
+use crate::lifecycle::{Lifecycle, LifecycleState};
 use crate::requests::{RequestDriver, Transport};
-use crate::sockets::lacks_descriptor;
+use crate::sockets::is_out_of_descriptors;
 use crate::upload::BodyMemory;
 use bytes::Bytes;
 use cometcroft::Settings;
@@ -49,7 +49,7 @@
     host: Rc<RequestDriver<T>>,
     classes: RefCell<ClassRegistry>,
     tenants: RefCell<Vec<String>>,
-    life: Rc<Life<T::Platform>>,
+    lifecycle: Rc<Lifecycle<T::Platform>>,
     counters: Rc<Counters>,
     most: usize,
     /// So many more may be on their way out.
@@ -80,7 +80,7 @@
         host: Rc<RequestDriver<T>>,
         classes: ClassRegistry,
         tenants: Vec<String>,
-        life: Rc<Life<T::Platform>>,
+        lifecycle: Rc<Lifecycle<T::Platform>>,
         counters: Rc<Counters>,
         [most, spare, memory]: [usize; 3],
         fleet: Option<Rc<Fleet<T::Platform>>>,
@@ -90,7 +90,7 @@
             host,
             classes: RefCell::new(classes),
             tenants: RefCell::new(tenants),
-            life,
+            lifecycle,
             counters,
             most,
             spare,
@@ -110,7 +110,7 @@
         let mut classes = self.classes.borrow_mut();
         let from = classes.apply_settings(names, &settings.classes, self.platform.now());
         settings.classes = classes.classes();
-        self.counters.figures.name(&classes.names());
+        self.counters.request_stats.set_class_names(&classes.names());
         self.tenants.replace(tenants);
         self.host.apply_settings(settings, from);
     }
@@ -119,12 +119,12 @@
     pub async fn run(self: Rc<Self>, listener: ListenerOf<T>) {
         tokio::select! {
             biased;
-            () = self.life.until(Machine::accepts_until) => {}
+            () = self.lifecycle.wait_until(LifecycleState::accepts_until) => {}
             () = self.accept(&listener) => {}
         }
         // Danger: what the machine has accepted is ours, and would be reset with the listener. A listener that a
         // successor reads too stays open, and what waits there is the successor's.
-        if !self.life.ask(|machine, _| machine.shared()) {
+        if !self.lifecycle.query(|state, _| state.shares_listener()) {
             self.accept_waiting(&listener).await;
         }
         drop(listener);
@@ -134,7 +134,7 @@
     }
 
     async fn accept(self: &Rc<Self>, listener: &ListenerOf<T>) {
-        self.life.until(|machine| Some(machine.accepts_from())).await;
+        self.lifecycle.wait_until(|state| Some(state.accepts_from())).await;
         loop {
             // Danger: past the limit of descriptors nothing works any more, so a place is made or awaited
             // before the next client is let in.
@@ -160,7 +160,7 @@
                 // One that left at once, or a lack that may pass: others still wait.
                 Ok(Err(error)) => {
                     count(&self.counters.accept_failures);
-                    if lacks_descriptor(&error) {
+                    if is_out_of_descriptors(&error) {
                         self.evict();
                     }
                     self.platform.sleep(BETWEEN_ACCEPTS).await;
@@ -209,7 +209,7 @@
             Ok(stream) => return stream,
             Err(error) => {
                 count(&counters.accept_failures);
-                if lacks_descriptor(&error) {
+                if is_out_of_descriptors(&error) {
                     make_room();
                 }
                 platform.sleep(BETWEEN_ACCEPTS).await;
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -16,7 +16,6 @@
 pub mod endpoint_list;
 pub mod endpoint_table;
 pub mod exchange;
-pub mod figures;
 pub mod fleet;
 pub mod freshness;
 pub mod frontend;
@@ -29,8 +28,9 @@
 pub mod plan_driver;
 pub mod pool;
 pub mod probe;
+pub mod reload;
+pub mod request_stats;
 pub mod requests;
-pub mod retune;
 pub mod sockets;
 pub mod start_clock;
 pub mod upload;
@@ -45,11 +45,11 @@
 use crate::exchange::Exchanger;
 use crate::fleet::{Fleet, FleetParts};
 use crate::frontend::{Frontend, HttpTransport};
-use crate::lifecycle::{Life, Machine};
+use crate::lifecycle::{Lifecycle, LifecycleState};
 use crate::ops::OpsEndpoint;
 use crate::pool::ConnectionPool;
+use crate::reload::ConfigReloader;
 use crate::requests::RequestDriver;
-use crate::retune::Control;
 use cometcroft::{Event, ListScope};
 use cometcroft_platform::{Platform, Task};
 use std::cell::RefCell;
@@ -74,15 +74,15 @@
 }
 
 /// What a sidecar is given by whoever starts it.
-pub struct Parts<P: Platform> {
+pub struct Resources<P: Platform> {
     /// Where clients connect.
     pub listener: P::Listener,
     /// Where operators call, if anywhere.
     pub ops: Option<P::Listener>,
     /// Tells it of new configurations, and where discovery is.
-    pub control: Rc<Control>,
+    pub reloader: Rc<ConfigReloader>,
     /// Tells it when to leave.
-    pub life: Rc<Life<P>>,
+    pub lifecycle: Rc<Lifecycle<P>>,
     /// What it counts.
     pub counters: Rc<Counters>,
     /// Its part in a fleet, if it has one.
@@ -90,7 +90,7 @@
 }
 
 /// Runs a sidecar until it is told to leave and all is answered.
-pub async fn run<P: Platform>(platform: P, config: Config, parts: Parts<P>) -> io::Result<()> {
+pub async fn run<P: Platform>(platform: P, config: Config, parts: Resources<P>) -> io::Result<()> {
     run_with(platform, config, parts, |carrier| carrier).await
 }
 
@@ -98,46 +98,46 @@
 pub async fn run_with<P: Platform, C: HttpTransport<Platform = P>>(
     platform: P,
     mut config: Config,
-    parts: Parts<P>,
+    parts: Resources<P>,
     wrap: impl FnOnce(PooledTransport<P>) -> C,
 ) -> io::Result<()> {
-    let Parts { listener, ops, control, life, counters, fleet } = parts;
+    let Resources { listener, ops, reloader, lifecycle, counters, fleet } = parts;
     // Danger: where the listener is inherited a second process may run beside this one, and both count as one.
-    let sockets = if config.socket.is_some() { config.sockets / 2 } else { config.sockets };
+    let sockets = if config.inherited_socket.is_some() { config.max_sockets / 2 } else { config.max_sockets };
     let reserve = RESERVE.min(sockets / 3);
     let connections = sockets.saturating_sub(reserve);
     let (to_clients, to_backends) = (connections * 11 / 20, connections * 9 / 20);
-    let (idle, dial) = (config.net.idle, config.net.connect_timeout);
+    let (idle, dial) = (config.network.idle, config.network.connect_timeout);
     let (instances, seed) = (config.settings.instances, config.seed);
     let member = fleet.map(|parts| Fleet::new(platform.clone(), parts, instances, seed.rotate_left(32)));
     let (fleet, meets) = member.unzip();
     let pool =
         ConnectionPool::new(platform.clone(), to_backends, [idle, dial], counters.clone(), fleet.clone());
-    let endpoints = Rc::new(EndpointTable::new(config.net.zones.clone(), ORIGIN, platform.unix()));
+    let endpoints = Rc::new(EndpointTable::new(config.network.zones.clone(), ORIGIN, platform.unix()));
     let exchanger =
         Exchanger { pool: pool.clone(), endpoints: endpoints.clone(), counters: counters.clone() };
-    let fields = Rc::new(RefCell::new(config.fields.into()));
+    let fields = Rc::new(RefCell::new(config.load_report_fields.into()));
     let carrier = wrap(PooledTransport { exchanger, fields: fields.clone(), fleet: fleet.clone() });
-    let register = ClassRegistry::new(&config.net.classes, &config.settings.classes);
-    let file_settings = fleet.as_ref().map(|_| (config.settings.clone(), config.net.clone()));
+    let register = ClassRegistry::new(&config.network.classes, &config.settings.classes);
+    let file_settings = fleet.as_ref().map(|_| (config.settings.clone(), config.network.clone()));
     let host = RequestDriver::new(carrier, config.settings, seed, ORIGIN, counters.clone())
         .map_err(io::Error::other)?;
-    counters.figures.name(&config.net.classes);
+    counters.request_stats.set_class_names(&config.network.classes);
     host.handle_event(Event::Start);
-    let known = EndpointList::from_value(&std::mem::take(&mut config.known)).ok();
+    let known = EndpointList::from_value(&std::mem::take(&mut config.known_endpoints)).ok();
     let known = known.and_then(|list| endpoints.apply(list, None).update());
     // Danger: beside a predecessor the list as last held is not good enough to serve by, and a watch would wait.
-    let index = known.as_ref().map(|known| known.version).filter(|_| config.socket.is_none());
+    let index = known.as_ref().map(|known| known.version).filter(|_| config.inherited_socket.is_none());
     if let Some(known) = known {
         host.handle_event(Event::EndpointList { scope: ListScope::Restored, entries: known.entries });
     }
-    life.tell(|machine, _| machine.listed(!endpoints.is_empty(), false));
+    lifecycle.update(|state, _| state.record_list(!endpoints.is_empty(), false));
     // Another stream of numbers than the module's, from the same seed.
     let watch = discovery::watch(
         host.clone(),
         endpoints.clone(),
-        control.source.clone(),
-        life.clone(),
+        reloader.discovery_source.clone(),
+        lifecycle.clone(),
         index,
         !seed,
         fleet.clone(),
@@ -152,9 +152,9 @@
     });
     let members = fleet.as_ref().zip(meets).map(|(fleet, listener)| {
         let task = platform.spawn(fleet.clone().run(listener));
-        let (leaver, told) = (fleet.clone(), life.clone());
+        let (leaver, told) = (fleet.clone(), lifecycle.clone());
         let leave = platform.spawn(async move {
-            told.begun().await;
+            told.shutdown_begun().await;
             leaver.leave();
         });
         [task, leave]
@@ -163,7 +163,7 @@
         let ops_endpoint = OpsEndpoint::new(
             host.clone(),
             endpoints.clone(),
-            life.clone(),
+            lifecycle.clone(),
             counters.clone(),
             (fleet.clone(), reserve / 3),
         );
@@ -172,10 +172,10 @@
     let frontend = Frontend::new(
         host.clone(),
         register,
-        config.net.tenants,
-        life.clone(),
+        config.network.tenants,
+        lifecycle.clone(),
         counters,
-        [to_clients, reserve / 6, config.memory / 4],
+        [to_clients, reserve / 6, config.memory_bytes / 4],
         fleet.clone(),
     );
     let active = ActiveSettings {
@@ -183,25 +183,25 @@
         host: host.clone(),
         endpoints: endpoints.clone(),
         pool,
-        life: life.clone(),
+        lifecycle: lifecycle.clone(),
         fields,
         fleet: fleet.clone(),
         file_settings: RefCell::new(file_settings),
     };
     let plan = fleet.as_ref().and_then(|fleet| fleet.plan());
     if let Some(plan) = plan {
-        let (judging, asked) = (plan.clone(), life.clone());
+        let (judging, asked) = (plan.clone(), lifecycle.clone());
         endpoints.set_weight_adjuster(Box::new(move |name, zone, group| {
             judging.weight_adjustment(name, zone, group)
         }));
-        plan.set_readiness(move || asked.ask(Machine::wanted));
+        plan.set_readiness(move || asked.query(LifecycleState::is_ready));
     }
     let tuner = platform.clone();
     let tune = platform.spawn(async move {
         loop {
             tokio::select! {
                 biased;
-                config = control.next() => active.apply_file(config),
+                config = reloader.next_config() => active.apply_file(config),
                 () = recounted(&active.fleet) => {
                     active.apply_fleet();
                     // Danger: hundreds that join in a second would have the module take new settings for each.
--- a/crates/sidecar/src/ops_commands.rs
+++ b/crates/sidecar/src/ops_commands.rs
@@ -3,7 +3,7 @@
 
 use crate::endpoint_table::EndpointTable;
 use crate::http::server::{Request, Status};
-use crate::lifecycle::Life;
+use crate::lifecycle::Lifecycle;
 use crate::plan_driver::{CommandError, PlanDriver};
 use cometcroft_consensus::ConsensusError;
 use cometcroft_plan::{Command, CommandOutcome, PermitTarget};
@@ -85,11 +85,11 @@
 pub async fn handle<P: Platform>(
     plan: &Rc<PlanDriver<P>>,
     endpoints: &EndpointTable,
-    life: &Rc<Life<P>>,
+    lifecycle: &Rc<Lifecycle<P>>,
     path: &[u8],
     request: &Request,
 ) -> (Status, String) {
-    let (status, value) = match said(plan, endpoints, life, path, request).await {
+    let (status, value) = match said(plan, endpoints, lifecycle, path, request).await {
         Ok(value) => (Status::Ok, value),
         Err(refused) => refused,
     };
@@ -101,12 +101,12 @@
 }
 
 /// A planned stop: this sidecar leaves, as after SIGTERM, once its permit is given; never if it is given back first.
-fn leave_in_turn<P: Platform>(plan: &Rc<PlanDriver<P>>, life: &Rc<Life<P>>, permit: u32) {
-    let (plan, life) = (plan.clone(), life.clone());
+fn leave_in_turn<P: Platform>(plan: &Rc<PlanDriver<P>>, lifecycle: &Rc<Lifecycle<P>>, permit: u32) {
+    let (plan, lifecycle) = (plan.clone(), lifecycle.clone());
     let platform = plan.platform().clone();
     platform.detach(async move {
         if plan.wait_for_permit(permit).await {
-            life.begin();
+            lifecycle.begin_shutdown();
         }
     });
 }
@@ -114,7 +114,7 @@
 async fn said<P: Platform>(
     plan: &Rc<PlanDriver<P>>,
     endpoints: &EndpointTable,
-    life: &Rc<Life<P>>,
+    lifecycle: &Rc<Lifecycle<P>>,
     path: &[u8],
     request: &Request,
 ) -> Result<Value, (Status, Value)> {
@@ -192,7 +192,7 @@
     match plan.propose(word, reason, expects, id).await {
         Ok(CommandOutcome::Applied { index, number }) => {
             if path == b"/restart" && query.contains_key("leave") {
-                leave_in_turn(plan, life, number);
+                leave_in_turn(plan, lifecycle, number);
             }
             Ok(json!({"taken": true, "index": index, "number": number}))
         }
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -3,7 +3,7 @@
 use crate::counters::{Counters, count};
 use crate::dial::{self, AttemptDelay};
 use crate::fleet::Fleet;
-use crate::sockets::send_promptly;
+use crate::sockets::enable_nodelay;
 use cometcroft::EndpointId;
 use cometcroft_platform::{Platform, Stream};
 use std::cell::{Cell, RefCell};
@@ -131,7 +131,7 @@
         let began = self.platform.now();
         let stream = self.platform.connect(address).await?;
         self.attempt_delay.learn(self.platform.since(began));
-        send_promptly(&stream);
+        enable_nodelay(&stream);
         count(&self.counters.backend_connections);
         Ok(PooledConnection { stream, address, _slot: slot })
     }
