--- a/crates/sidecar/src/active_settings.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -1,41 +1,41 @@
 //! The settings in force: combines the configuration file with what the fleet decides (number of sidecars, shares of the
 //! quotas, plan) and applies the result everywhere in one step, so that all parts see one consistent state.
 
-use crate::backend::Pool;
 use crate::config::Config;
-use crate::directory::Directory;
+use crate::endpoint_table::EndpointTable;
 use crate::fleet::Fleet;
-use crate::frontend::{Frontend, HttpBackend};
-use crate::lifecycle::Life;
-use crate::session::Host;
+use crate::frontend::{Frontend, HttpTransport};
+use crate::lifecycle::Lifecycle;
+use crate::pool::ConnectionPool;
+use crate::requests::RequestDriver;
 use cometcroft::{Event, ListScope, Settings};
 use cometcroft_settings::{Field, Sockets};
 use std::cell::RefCell;
 use std::rc::Rc;
 
 /// The parts of a sidecar that settings are applied to.
-pub(crate) struct ActiveSettings<C: HttpBackend> {
+pub(crate) struct ActiveSettings<C: HttpTransport> {
     pub frontend: Rc<Frontend<C>>,
-    pub host: Rc<Host<C>>,
-    pub directory: Rc<Directory>,
-    pub pool: Rc<Pool<C::Platform>>,
-    pub life: Rc<Life<C::Platform>>,
+    pub host: Rc<RequestDriver<C>>,
+    pub endpoints: Rc<EndpointTable>,
+    pub pool: Rc<ConnectionPool<C::Platform>>,
+    pub lifecycle: Rc<Lifecycle<C::Platform>>,
     pub fields: Rc<RefCell<Rc<[Field]>>>,
     pub fleet: Option<Rc<Fleet<C::Platform>>>,
     /// Settings of the file before the fleet's state is applied to them; `None` without a fleet.
     pub file_settings: RefCell<Option<(Settings, Sockets)>>,
 }
 
-impl<C: HttpBackend> ActiveSettings<C> {
+impl<C: HttpTransport> ActiveSettings<C> {
     /// Applies a new configuration file, in one step: nothing is awaited in between.
     pub fn apply_file(&self, config: Config) {
-        self.life.tell(|machine, _| machine.longest(config.longest_deadline()));
-        let Config { settings, net, fields, .. } = config;
-        self.directory.retune(net.zones.clone());
-        self.pool.retune(net.idle, net.connect_timeout);
+        self.lifecycle.update(|state, _| state.set_max_deadline(config.max_deadline()));
+        let Config { settings, network: net, load_report_fields: fields, .. } = config;
+        self.endpoints.set_zones(net.zones.clone());
+        self.pool.apply_settings(net.idle, net.connect_timeout);
         self.fields.replace(fields.into());
         match &self.fleet {
-            None => self.frontend.retune(settings, &net.classes, net.tenants),
+            None => self.frontend.apply_settings(settings, &net.classes, net.tenants),
             Some(_) => {
                 self.file_settings.replace(Some((settings, net)));
                 self.apply_fleet();
@@ -51,11 +51,11 @@
         fleet.apply_to_settings(&mut settings, &net.tenants);
         // The endpoint list is updated before the settings: otherwise the decision module could still choose an endpoint that the
         // new revision excludes.
-        let entries = self.directory.judge();
+        let entries = self.endpoints.refresh_adjustments();
         if !entries.is_empty() {
-            self.host.tell(Event::EndpointList { scope: ListScope::Changes, entries });
+            self.host.handle_event(Event::EndpointList { scope: ListScope::Changes, entries });
         }
-        self.frontend.retune(settings, &net.classes, net.tenants.clone());
+        self.frontend.apply_settings(settings, &net.classes, net.tenants.clone());
         if let Some(plan) = fleet.plan() {
             plan.mark_in_force();
         }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,55 +1,55 @@
 //! One sidecar round the decision module. Modules follow the stages of a request: [`frontend`], [`session`],
-//! [`dispatch`], [`exchange`], [`backend`]; beside it run [`discovery`], which fills the [`directory`], and [`probe`].
+//! [`dispatch`], [`exchange`], [`backend`]; beside it run [`discovery`], which fills the [`endpoint_table`], and [`probe`].
 //! Sockets, clock and tasks come from a [`Platform`](cometcroft_platform::Platform).
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
 mod active_settings;
-pub mod backend;
+pub mod attempt;
 pub mod budget_driver;
 pub mod classes;
 pub mod config;
 pub mod counters;
 pub mod dial;
-pub mod directory;
 pub mod discovery;
-pub mod dispatch;
+pub mod discovery_connections;
 pub mod endpoint_list;
+pub mod endpoint_table;
 pub mod exchange;
-pub mod figures;
 pub mod fleet;
 pub mod freshness;
 pub mod frontend;
 pub mod http;
 pub mod lifecycle;
 pub mod logging;
-pub mod notices;
 pub mod operator_file;
 pub mod ops;
 pub mod ops_commands;
 pub mod plan_driver;
+pub mod pool;
 pub mod probe;
-pub mod retune;
-pub mod session;
+pub mod reload;
+pub mod request_stats;
+pub mod requests;
 pub mod sockets;
 pub mod start_clock;
 pub mod upload;
 
 use crate::active_settings::ActiveSettings;
-use crate::backend::Pool;
-use crate::classes::Register;
+use crate::attempt::PooledTransport;
+use crate::classes::ClassRegistry;
 use crate::config::Config;
 use crate::counters::Counters;
-use crate::directory::Directory;
-use crate::dispatch::HttpCarrier;
 use crate::endpoint_list::EndpointList;
+use crate::endpoint_table::EndpointTable;
 use crate::exchange::Exchanger;
 use crate::fleet::{Fleet, FleetParts};
-use crate::frontend::{Frontend, HttpBackend};
-use crate::lifecycle::{Life, Machine};
+use crate::frontend::{Frontend, HttpTransport};
+use crate::lifecycle::{Lifecycle, LifecycleState};
 use crate::ops::OpsEndpoint;
-use crate::retune::Control;
-use crate::session::Host;
+use crate::pool::ConnectionPool;
+use crate::reload::ConfigReloader;
+use crate::requests::RequestDriver;
 use cometcroft::{Event, ListScope};
 use cometcroft_platform::{Platform, Task};
 use std::cell::RefCell;
@@ -74,15 +74,15 @@
 }
 
 /// What a sidecar is given by whoever starts it.
-pub struct Parts<P: Platform> {
+pub struct Resources<P: Platform> {
     /// Where clients connect.
     pub listener: P::Listener,
     /// Where operators call, if anywhere.
     pub ops: Option<P::Listener>,
     /// Tells it of new configurations, and where discovery is.
-    pub control: Rc<Control>,
+    pub reloader: Rc<ConfigReloader>,
     /// Tells it when to leave.
-    pub life: Rc<Life<P>>,
+    pub lifecycle: Rc<Lifecycle<P>>,
     /// What it counts.
     pub counters: Rc<Counters>,
     /// Its part in a fleet, if it has one.
@@ -90,53 +90,54 @@
 }
 
 /// Runs a sidecar until it is told to leave and all is answered.
-pub async fn run<P: Platform>(platform: P, config: Config, parts: Parts<P>) -> io::Result<()> {
+pub async fn run<P: Platform>(platform: P, config: Config, parts: Resources<P>) -> io::Result<()> {
     run_with(platform, config, parts, |carrier| carrier).await
 }
 
 /// The same with the carrier that `wrap` makes of the sidecar's own, as tests do that spoil what it does.
-pub async fn run_with<P: Platform, C: HttpBackend<Platform = P>>(
+pub async fn run_with<P: Platform, C: HttpTransport<Platform = P>>(
     platform: P,
     mut config: Config,
-    parts: Parts<P>,
-    wrap: impl FnOnce(HttpCarrier<P>) -> C,
+    parts: Resources<P>,
+    wrap: impl FnOnce(PooledTransport<P>) -> C,
 ) -> io::Result<()> {
-    let Parts { listener, ops, control, life, counters, fleet } = parts;
+    let Resources { listener, ops, reloader, lifecycle, counters, fleet } = parts;
     // Danger: where the listener is inherited a second process may run beside this one, and both count as one.
-    let sockets = if config.socket.is_some() { config.sockets / 2 } else { config.sockets };
+    let sockets = if config.inherited_socket.is_some() { config.max_sockets / 2 } else { config.max_sockets };
     let reserve = RESERVE.min(sockets / 3);
     let connections = sockets.saturating_sub(reserve);
     let (to_clients, to_backends) = (connections * 11 / 20, connections * 9 / 20);
-    let (idle, dial) = (config.net.idle, config.net.connect_timeout);
+    let (idle, dial) = (config.network.idle, config.network.connect_timeout);
     let (instances, seed) = (config.settings.instances, config.seed);
     let member = fleet.map(|parts| Fleet::new(platform.clone(), parts, instances, seed.rotate_left(32)));
     let (fleet, meets) = member.unzip();
-    let pool = Pool::new(platform.clone(), to_backends, [idle, dial], counters.clone(), fleet.clone());
-    let directory = Rc::new(Directory::new(config.net.zones.clone(), ORIGIN, platform.unix()));
+    let pool =
+        ConnectionPool::new(platform.clone(), to_backends, [idle, dial], counters.clone(), fleet.clone());
+    let endpoints = Rc::new(EndpointTable::new(config.network.zones.clone(), ORIGIN, platform.unix()));
     let exchanger =
-        Exchanger { pool: pool.clone(), directory: directory.clone(), counters: counters.clone() };
-    let fields = Rc::new(RefCell::new(config.fields.into()));
-    let carrier = wrap(HttpCarrier { exchanger, fields: fields.clone(), fleet: fleet.clone() });
-    let register = Register::new(&config.net.classes, &config.settings.classes);
-    let file_settings = fleet.as_ref().map(|_| (config.settings.clone(), config.net.clone()));
-    let host =
-        Host::new(carrier, config.settings, seed, ORIGIN, counters.clone()).map_err(io::Error::other)?;
-    counters.figures.name(&config.net.classes);
-    host.tell(Event::Start);
-    let known = EndpointList::from_value(&std::mem::take(&mut config.known)).ok();
-    let known = known.and_then(|list| directory.take(list, None).news());
+        Exchanger { pool: pool.clone(), endpoints: endpoints.clone(), counters: counters.clone() };
+    let fields = Rc::new(RefCell::new(config.load_report_fields.into()));
+    let carrier = wrap(PooledTransport { exchanger, fields: fields.clone(), fleet: fleet.clone() });
+    let register = ClassRegistry::new(&config.network.classes, &config.settings.classes);
+    let file_settings = fleet.as_ref().map(|_| (config.settings.clone(), config.network.clone()));
+    let host = RequestDriver::new(carrier, config.settings, seed, ORIGIN, counters.clone())
+        .map_err(io::Error::other)?;
+    counters.request_stats.set_class_names(&config.network.classes);
+    host.handle_event(Event::Start);
+    let known = EndpointList::from_value(&std::mem::take(&mut config.known_endpoints)).ok();
+    let known = known.and_then(|list| endpoints.apply(list, None).update());
     // Danger: beside a predecessor the list as last held is not good enough to serve by, and a watch would wait.
-    let index = known.as_ref().map(|known| known.index).filter(|_| config.socket.is_none());
+    let index = known.as_ref().map(|known| known.version).filter(|_| config.inherited_socket.is_none());
     if let Some(known) = known {
-        host.tell(Event::EndpointList { scope: ListScope::Restored, entries: known.entries });
+        host.handle_event(Event::EndpointList { scope: ListScope::Restored, entries: known.entries });
     }
-    life.tell(|machine, _| machine.listed(!directory.is_empty(), false));
+    lifecycle.update(|state, _| state.record_list(!endpoints.is_empty(), false));
     // Another stream of numbers than the module's, from the same seed.
     let watch = discovery::watch(
         host.clone(),
-        directory.clone(),
-        control.source.clone(),
-        life.clone(),
+        endpoints.clone(),
+        reloader.discovery_source.clone(),
+        lifecycle.clone(),
         index,
         !seed,
         fleet.clone(),
@@ -151,9 +152,9 @@
     });
     let members = fleet.as_ref().zip(meets).map(|(fleet, listener)| {
         let task = platform.spawn(fleet.clone().run(listener));
-        let (leaver, told) = (fleet.clone(), life.clone());
+        let (leaver, told) = (fleet.clone(), lifecycle.clone());
         let leave = platform.spawn(async move {
-            told.begun().await;
+            told.shutdown_begun().await;
             leaver.leave();
         });
         [task, leave]
@@ -161,8 +162,8 @@
     let ops_endpoint = ops.map(|ops| {
         let ops_endpoint = OpsEndpoint::new(
             host.clone(),
-            directory.clone(),
-            life.clone(),
+            endpoints.clone(),
+            lifecycle.clone(),
             counters.clone(),
             (fleet.clone(), reserve / 3),
         );
@@ -171,34 +172,36 @@
     let frontend = Frontend::new(
         host.clone(),
         register,
-        config.net.tenants,
-        life.clone(),
+        config.network.tenants,
+        lifecycle.clone(),
         counters,
-        [to_clients, reserve / 6, config.memory / 4],
+        [to_clients, reserve / 6, config.memory_bytes / 4],
         fleet.clone(),
     );
     let active = ActiveSettings {
         frontend: frontend.clone(),
         host: host.clone(),
-        directory: directory.clone(),
+        endpoints: endpoints.clone(),
         pool,
-        life: life.clone(),
+        lifecycle: lifecycle.clone(),
         fields,
         fleet: fleet.clone(),
         file_settings: RefCell::new(file_settings),
     };
     let plan = fleet.as_ref().and_then(|fleet| fleet.plan());
     if let Some(plan) = plan {
-        let (judging, asked) = (plan.clone(), life.clone());
-        directory.judge_by(Box::new(move |name, zone, group| judging.weight_adjustment(name, zone, group)));
-        plan.set_readiness(move || asked.ask(Machine::wanted));
+        let (judging, asked) = (plan.clone(), lifecycle.clone());
+        endpoints.set_weight_adjuster(Box::new(move |name, zone, group| {
+            judging.weight_adjustment(name, zone, group)
+        }));
+        plan.set_readiness(move || asked.query(LifecycleState::is_ready));
     }
     let tuner = platform.clone();
     let tune = platform.spawn(async move {
         loop {
             tokio::select! {
                 biased;
-                config = control.next() => active.apply_file(config),
+                config = reloader.next_config() => active.apply_file(config),
                 () = recounted(&active.fleet) => {
                     active.apply_fleet();
                     // Danger: hundreds that join in a second would have the module take new settings for each.
--- a/crates/sidecar/src/operator_file.rs
+++ b/crates/sidecar/src/operator_file.rs
@@ -319,7 +319,7 @@
         let name = name.ok_or_else(|| {
             format!("{:?} is not a valid member name: must have 1 to 40 bytes", config.name)
         })?;
-        let zone = config.net.zones.get(config.settings.zone.0).map(String::as_str).unwrap_or_default();
+        let zone = config.network.zones.get(config.settings.zone.0).map(String::as_str).unwrap_or_default();
         let mut member = membership::Config::new(&self.name, name, self.advertise.unwrap_or(self.bind));
         member.zone = Name::new(zone).unwrap_or_default();
         member.tier = u8::try_from(config.settings.tier).unwrap_or(u8::MAX);
@@ -450,7 +450,7 @@
         config: &Config,
     ) -> Result<(budget::Config, Vec<BudgetUse>), String> {
         // The sidecar ends a request at its deadline, so no request is open longer than the longest one.
-        let driver_config = self.config(fleet, config.longest_deadline());
+        let driver_config = self.config(fleet, config.max_deadline());
         driver_config.map_err(|(_, field, reason)| format!("{field}: {reason}"))
     }
 
--- a/crates/sidecar/src/ops.rs
+++ b/crates/sidecar/src/ops.rs
@@ -2,15 +2,15 @@
 //! a large number of clients can't keep operators out. Each connection carries one call.
 
 use crate::counters::{Counters, count};
-use crate::directory::Directory;
-use crate::figures::Report;
+use crate::endpoint_table::EndpointTable;
 use crate::fleet::Fleet;
-use crate::frontend::{admit, bid_farewell, refuse};
+use crate::frontend::{accept_connection, close_gracefully, error_response};
 use crate::http::server::{Connection, Request, Status, Step};
-use crate::lifecycle::{Life, Machine};
+use crate::lifecycle::{Lifecycle, LifecycleState};
 use crate::ops_commands;
-use crate::session::{Carrier, Host};
-use crate::sockets::send_promptly;
+use crate::request_stats::StatsReport;
+use crate::requests::{RequestDriver, Transport};
+use crate::sockets::enable_nodelay;
 use cometcroft_platform::Platform;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -65,10 +65,10 @@
 }
 
 /// Serves the operations endpoint.
-pub struct OpsEndpoint<C: Carrier> {
-    host: Rc<Host<C>>,
-    directory: Rc<Directory>,
-    life: Rc<Life<C::Platform>>,
+pub struct OpsEndpoint<C: Transport> {
+    host: Rc<RequestDriver<C>>,
+    endpoints: Rc<EndpointTable>,
+    lifecycle: Rc<Lifecycle<C::Platform>>,
     counters: Rc<Counters>,
     fleet: Option<Rc<Fleet<C::Platform>>>,
     /// Connections without a complete call, by their number, the oldest first. Notifying one closes it.
@@ -80,21 +80,21 @@
     closed: Notify,
 }
 
-type StreamOf<C> = <<C as Carrier>::Platform as Platform>::Stream;
+type StreamOf<C> = <<C as Transport>::Platform as Platform>::Stream;
 
-impl<C: Carrier> OpsEndpoint<C> {
+impl<C: Transport> OpsEndpoint<C> {
     /// Creates the endpoint, for a maximum number of concurrent connections.
     pub fn new(
-        host: Rc<Host<C>>,
-        directory: Rc<Directory>,
-        life: Rc<Life<C::Platform>>,
+        host: Rc<RequestDriver<C>>,
+        endpoints: Rc<EndpointTable>,
+        lifecycle: Rc<Lifecycle<C::Platform>>,
         counters: Rc<Counters>,
         (fleet, connections): (Option<Rc<Fleet<C::Platform>>>, usize),
     ) -> Rc<OpsEndpoint<C>> {
         Rc::new(OpsEndpoint {
             host,
-            directory,
-            life,
+            endpoints,
+            lifecycle,
             counters,
             fleet,
             max_connections: connections.clamp(1, MAX_CONNECTIONS),
@@ -116,7 +116,7 @@
                 }
                 let _ = platform.timeout(Duration::from_millis(10), self.closed.notified()).await;
             }
-            let stream = admit(&platform, &listener, &self.counters, || ()).await;
+            let stream = accept_connection(&platform, &listener, &self.counters, || ()).await;
             let endpoint = self.clone();
             self.open_connections.set(self.open_connections.get() + 1);
             platform.detach(async move {
@@ -130,7 +130,7 @@
     /// Serves one connection.
     async fn serve(&self, mut stream: StreamOf<C>) -> io::Result<()> {
         let platform = self.host.platform();
-        send_promptly(&stream);
+        enable_nodelay(&stream);
         let number = self.next_connection.replace(self.next_connection.get() + 1);
         let wake = Rc::new(Notify::new());
         self.pending.borrow_mut().insert(number, wake.clone());
@@ -139,7 +139,7 @@
         if let Some(response) = response? {
             count(&self.counters.ops_calls);
             platform.timeout(WRITE_TIMEOUT, stream.write_all(&response)).await??;
-            bid_farewell(platform, &mut stream, false).await?;
+            close_gracefully(platform, &mut stream, false).await?;
         }
         Ok(())
     }
@@ -162,8 +162,8 @@
                         read = stream.read_buf(machine.buffer()) => read?,
                         () = wake.notified() => 0,
                         () = platform.sleep_until(until) => {
-                            let is_incomplete = !machine.idle();
-                            return Ok(is_incomplete.then(|| refuse(&mut machine, Status::RequestTimeout)));
+                            let is_incomplete = !machine.is_idle();
+                            return Ok(is_incomplete.then(|| error_response(&mut machine, Status::RequestTimeout)));
                         }
                     };
                     if read == 0 {
@@ -172,8 +172,8 @@
                 }
                 Step::Continue(bytes) => stream.write_all(bytes).await?,
                 Step::Request(request) => return Ok(Some(self.answer(&mut machine, &request).await)),
-                Step::Upload(..) => return Ok(Some(refuse(&mut machine, Status::TooLarge))),
-                Step::Reject(status) => return Ok(Some(refuse(&mut machine, status))),
+                Step::Upload(..) => return Ok(Some(error_response(&mut machine, Status::TooLarge))),
+                Step::Reject(status) => return Ok(Some(error_response(&mut machine, status))),
             }
         }
     }
@@ -189,7 +189,7 @@
                 (status, allow.unwrap_or_default(), String::new())
             }
         };
-        let mut message = machine.answer(status, &headers, body.len(), true);
+        let mut message = machine.response_head(status, &headers, body.len(), true);
         message.extend_from_slice(body.as_bytes());
         message
     }
@@ -197,7 +197,7 @@
     async fn call(&self, call: Call, request: &Request) -> (Status, String) {
         match call {
             Call::Readiness => {
-                let ready = self.life.ask(Machine::wanted);
+                let ready = self.lifecycle.query(LifecycleState::is_ready);
                 let status = if ready { Status::Ok } else { Status::Unavailable };
                 (status, format!("{{\"ready\":{ready}}}\n"))
             }
@@ -212,35 +212,35 @@
             Call::Plan => match self.fleet.as_ref().and_then(|fleet| fleet.plan()) {
                 Some(plan) => {
                     let path = request.path().strip_prefix(b"/ops/plan").unwrap_or_default();
-                    ops_commands::handle(plan, &self.directory, &self.life, path, request).await
+                    ops_commands::handle(plan, &self.endpoints, &self.lifecycle, path, request).await
                 }
                 None => (Status::NotFound, String::new()),
             },
             Call::Drain => {
-                self.life.tell(Machine::drain);
+                self.lifecycle.update(LifecycleState::start_drain);
                 (Status::Ok, "{\"draining\":true}\n".to_owned())
             }
             Call::Undrain => {
-                self.life.tell(|machine, _| machine.undrain());
+                self.lifecycle.update(|state, _| state.stop_drain());
                 (Status::Ok, "{\"draining\":false}\n".to_owned())
             }
         }
     }
 
     /// The current metrics.
-    pub fn report(&self) -> Report {
-        Report {
-            operations: self.counters.figures.tallies(),
-            relayed: self.counters.figures.relayed(),
-            open_requests: self.counters.figures.open(),
-            registry_entries: self.directory.len(),
+    pub fn report(&self) -> StatsReport {
+        StatsReport {
+            operations: self.counters.request_stats.by_class(),
+            relayed: self.counters.request_stats.relayed(),
+            open_requests: self.counters.request_stats.open_requests(),
+            registry_entries: self.endpoints.len(),
             registry_age_ms: self
-                .directory
+                .endpoints
                 .confirmed_age(self.host.platform().now())
                 .map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             bar_delay_longest_us: self.counters.bar_delay_longest_us.get(),
             late_sends_barred: self.counters.dispatch_barred.get(),
-            out_of_rotation: self.host.avoided(),
+            out_of_rotation: self.host.avoided_count(),
             cfg_accepted: self.counters.reloads.get(),
             cfg_invalid: self.counters.reload_failures.get(),
         }
--- a/crates/sidecar/src/ops_commands.rs
+++ b/crates/sidecar/src/ops_commands.rs
@@ -1,9 +1,9 @@
 //! The part of the operations endpoint under `/ops/plan`: reads the plan and proposes commands. Arguments are passed in the
 //! query, a revision's text in the body. Errors are JSON with a code, a description and a remedy.
 
-use crate::directory::Directory;
+use crate::endpoint_table::EndpointTable;
 use crate::http::server::{Request, Status};
-use crate::lifecycle::Life;
+use crate::lifecycle::Lifecycle;
 use crate::plan_driver::{CommandError, PlanDriver};
 use cometcroft_consensus::ConsensusError;
 use cometcroft_plan::{Command, CommandOutcome, PermitTarget};
@@ -88,12 +88,12 @@
 /// Handles a call under `/ops/plan` and returns the status and body of the response.
 pub async fn handle<P: Platform>(
     plan: &Rc<PlanDriver<P>>,
-    directory: &Directory,
-    life: &Rc<Life<P>>,
+    endpoints: &EndpointTable,
+    lifecycle: &Rc<Lifecycle<P>>,
     path: &[u8],
     request: &Request,
 ) -> (Status, String) {
-    let (status, value) = match execute(plan, directory, life, path, request).await {
+    let (status, value) = match execute(plan, endpoints, lifecycle, path, request).await {
         Ok(value) => (Status::Ok, value),
         Err(response) => response,
     };
@@ -106,12 +106,12 @@
 
 /// Planned stop: this sidecar shuts down, as after SIGTERM, once its permit is granted; not at all if the permit is returned
 /// first.
-fn leave_when_permitted<P: Platform>(plan: &Rc<PlanDriver<P>>, life: &Rc<Life<P>>, permit: u32) {
-    let (plan, life) = (plan.clone(), life.clone());
+fn leave_when_permitted<P: Platform>(plan: &Rc<PlanDriver<P>>, lifecycle: &Rc<Lifecycle<P>>, permit: u32) {
+    let (plan, lifecycle) = (plan.clone(), lifecycle.clone());
     let platform = plan.platform().clone();
     platform.detach(async move {
         if plan.wait_for_permit(permit).await {
-            life.begin();
+            lifecycle.begin_shutdown();
         }
     });
 }
@@ -119,8 +119,8 @@
 /// Executes a call and returns the body of its response.
 async fn execute<P: Platform>(
     plan: &Rc<PlanDriver<P>>,
-    directory: &Directory,
-    life: &Rc<Life<P>>,
+    endpoints: &EndpointTable,
+    lifecycle: &Rc<Lifecycle<P>>,
     path: &[u8],
     request: &Request,
 ) -> Result<Value, (Status, Value)> {
@@ -140,7 +140,7 @@
         b"/read" => Command::Noop,
         b"/propose" | b"/release" => {
             let text = text()?;
-            plan.check_endpoints_left(&text, &directory.listed()).map_err(|error| error_response(&error))?;
+            plan.check_endpoints_left(&text, &endpoints.listed()).map_err(|error| error_response(&error))?;
             match query.get("waves") {
                 None if path == b"/propose" => Command::Propose { text },
                 None => {
@@ -165,7 +165,7 @@
             let to = required(&query, "to")?;
             // A revision that was valid when proposed may leave too few of the present endpoints.
             let text = plan.revision_text(to).map_err(|error| error_response(&error))?;
-            plan.check_endpoints_left(&text, &directory.listed()).map_err(|error| error_response(&error))?;
+            plan.check_endpoints_left(&text, &endpoints.listed()).map_err(|error| error_response(&error))?;
             Command::RollBackTo { revision: to }
         }
         b"/pin" => {
@@ -176,7 +176,7 @@
         b"/back" => Command::RollBackRelease,
         b"/drain" => {
             let name: String = required(&query, "server")?;
-            let listed = directory.listed();
+            let listed = endpoints.listed();
             let endpoint = listed.iter().find(|(listed, ..)| *listed == name);
             let Some((_, zone, ..)) = endpoint else {
                 return Err(invalid_call("server", "no backend server of that name is listed here"));
@@ -208,7 +208,7 @@
     match plan.propose(command, reason, expected_revision, id).await {
         Ok(CommandOutcome::Applied { index, number }) => {
             if path == b"/restart" && query.contains_key("leave") {
-                leave_when_permitted(plan, life, number);
+                leave_when_permitted(plan, lifecycle, number);
             }
             Ok(json!({"taken": true, "index": index, "number": number}))
         }
--- a/crates/sidecar/src/plan_driver.rs
+++ b/crates/sidecar/src/plan_driver.rs
@@ -577,7 +577,7 @@
         after: Option<RetryCause>,
         share: impl FnOnce() -> f64,
     ) -> bool {
-        let class = std::str::from_utf8(request.class()).unwrap_or_default();
+        let class = std::str::from_utf8(request.class_name()).unwrap_or_default();
         let tenant = request.headers.single("x-caller").ok().flatten();
         let tenant = tenant.and_then(|tenant| std::str::from_utf8(tenant).ok());
         self.allow_attempt_of(class, tenant, first, after, share)
--- a/crates/sidecar/tests/outer_names.rs
+++ b/crates/sidecar/tests/outer_names.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use cometcroft_sidecar::counters::Counters;
-use common::program::{Sidecar, ask, backend, discovery, places};
+use common::program::{SidecarProcess, send_raw, sidecar_addresses, start_discovery, start_endpoint};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -85,7 +85,7 @@
 
 /// Three voters of the plan and of the budgets, and one other sidecar. The first sidecar is queried.
 struct Fleet {
-    sidecars: Vec<Option<Sidecar>>,
+    sidecars: Vec<Option<SidecarProcess>>,
     ops: Vec<SocketAddr>,
     /// Responses of the first sidecar.
     plans: Vec<Value>,
@@ -94,8 +94,8 @@
 
 impl Fleet {
     fn start() -> Fleet {
-        let endpoints: Vec<SocketAddr> = (0..2).map(|_| backend(Duration::ZERO, "", false).0).collect();
-        let (addresses, discovery) = (places(4), discovery(endpoints.clone()));
+        let endpoints: Vec<SocketAddr> = (0..2).map(|_| start_endpoint(Duration::ZERO, "", false).0).collect();
+        let (addresses, discovery) = (sidecar_addresses(4), start_discovery(endpoints.clone()));
         let voters: Vec<String> =
             addresses[..3].iter().map(|address| format!("\"{}\"", address[2])).collect();
         let voters = voters.join(", ");
@@ -104,7 +104,7 @@
              lease = \"1s\"\n[[budget.whole]]\nuse = \"retries\"\nrate = 200\nburst = 200\n"
         );
         let start = |(i, address): (usize, &[SocketAddr; 3])| {
-            Some(Sidecar::begin(&format!("n{i}"), *address, &endpoints, discovery, false, &sections))
+            Some(SidecarProcess::start_at(&format!("n{i}"), *address, &endpoints, discovery, false, &sections))
         };
         let sidecars = addresses.iter().enumerate().map(start).collect();
         let ops = addresses.iter().map(|address| address[1]).collect();
@@ -115,7 +115,7 @@
         let length = text.len();
         let head =
             format!("{method} /ops/{path} HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n{text}");
-        let answer = ask(self.ops[sidecar], &head).unwrap_or_default();
+        let answer = send_raw(self.ops[sidecar], &head).unwrap_or_default();
         let status = answer.get(9..12).and_then(|status| status.parse().ok()).unwrap_or(0);
         let body = answer.split("\r\n\r\n").nth(1).unwrap_or_default();
         (status, serde_json::from_str(body).unwrap_or_default())
--- a/crates/sidecar/tests/plan.rs
+++ b/crates/sidecar/tests/plan.rs
@@ -3,7 +3,9 @@
 #![allow(clippy::disallowed_methods)]
 mod common;
 
-use common::program::{Received, Sidecar, ask, backend, discovery, places};
+use common::program::{
+    SidecarProcess, StubStats, send_raw, sidecar_addresses, start_discovery, start_endpoint,
+};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,16 +14,17 @@
 /// Three voters and one other sidecar, in front of two stub endpoints.
 struct Fleet {
     /// Starts the sidecar of this number with its original configuration.
-    start: Box<dyn Fn(usize) -> Sidecar>,
-    sidecars: Vec<Sidecar>,
-    endpoints: Vec<(SocketAddr, Arc<Received>)>,
+    start: Box<dyn Fn(usize) -> SidecarProcess>,
+    sidecars: Vec<SidecarProcess>,
+    endpoints: Vec<(SocketAddr, Arc<StubStats>)>,
 }
 
 impl Fleet {
     fn start(rejects: bool, sections: &str) -> Fleet {
-        let endpoints = vec![backend(Duration::ZERO, "", rejects), backend(Duration::ZERO, "", rejects)];
+        let endpoints =
+            vec![start_endpoint(Duration::ZERO, "", rejects), start_endpoint(Duration::ZERO, "", rejects)];
         let all: Vec<SocketAddr> = endpoints.iter().map(|(at, _)| *at).collect();
-        let (addresses, discovery) = (places(4), discovery(all.clone()));
+        let (addresses, discovery) = (sidecar_addresses(4), start_discovery(all.clone()));
         let voters: Vec<String> =
             addresses[..3].iter().map(|address| format!("\"{}\"", address[2])).collect();
         let voters = voters.join(", ");
@@ -29,8 +32,9 @@
             "seeds = [{voters}]\nlongest_pause = \"1s\"\n[plan]\nkeepers = [{voters}]\n{}",
             sections.replace("VOTERS", &voters)
         );
-        let start =
-            move |i: usize| Sidecar::begin(&format!("n{i}"), addresses[i], &all, discovery, false, &sections);
+        let start = move |i: usize| {
+            SidecarProcess::start_at(&format!("n{i}"), addresses[i], &all, discovery, false, &sections)
+        };
         let sidecars = (0..4).map(&start).collect();
         Fleet { start: Box::new(start), sidecars, endpoints }
     }
@@ -40,7 +44,7 @@
         let length = text.len();
         let head =
             format!("{method} /ops/plan{call} HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n{text}");
-        let answer = ask(self.sidecars[sidecar].ops, &head).unwrap_or_default();
+        let answer = send_raw(self.sidecars[sidecar].ops, &head).unwrap_or_default();
         let status = answer.get(9..12).and_then(|status| status.parse().ok()).unwrap_or(0);
         let body = answer.split("\r\n\r\n").nth(1).unwrap_or_default();
         (status, serde_json::from_str(body).unwrap_or_default())
@@ -92,7 +96,7 @@
     /// Sends `each` requests to every sidecar; returns how many attempts each endpoint received.
     fn load(&self, each: usize) -> Vec<u64> {
         let count = |fleet: &Fleet| -> Vec<u64> {
-            fleet.endpoints.iter().map(|(_, r)| r.of(|r| &r.requests)).collect()
+            fleet.endpoints.iter().map(|(_, r)| r.get(|r| &r.requests)).collect()
         };
         let before = count(self);
         for sidecar in &self.sidecars {
@@ -188,7 +192,7 @@
     assert!(permits[0] < permits[1]);
     let wait_until_ended = |fleet: &mut Fleet, sidecar: usize| {
         let started = Instant::now();
-        while !fleet.sidecars[sidecar].ended() {
+        while !fleet.sidecars[sidecar].has_ended() {
             assert!(
                 started.elapsed() < Duration::from_secs(40),
                 "sidecar {sidecar} has not left: {:?}",
@@ -200,7 +204,7 @@
     wait_until_ended(&mut fleet, 2);
     // One sidecar is out, so the other has to wait; its permit names the first.
     std::thread::sleep(Duration::from_millis(1500));
-    assert!(!fleet.sidecars[3].ended(), "two sidecars are out at once");
+    assert!(!fleet.sidecars[3].has_ended(), "two sidecars are out at once");
     let (_, plan) = fleet.call(0, "GET", "", "");
     let waits = plan["permits"].as_array().and_then(|all| all.iter().find(|it| it["number"] == permits[1]));
     let waits = waits.and_then(|it| it["waits_for"].as_str()).unwrap_or_default().to_owned();
