--- a/crates/sidecar/src/active_settings.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -16,7 +16,7 @@
 /// The parts of a sidecar that settings are applied to.
 pub(crate) struct ActiveSettings<C: HttpTransport> {
     pub frontend: Rc<Frontend<C>>,
-    pub host: Rc<RequestDriver<C>>,
+    pub driver: Rc<RequestDriver<C>>,
     pub endpoints: Rc<EndpointTable>,
     pub pool: Rc<ConnectionPool<C::Platform>>,
     pub lifecycle: Rc<Lifecycle<C::Platform>>,
@@ -30,14 +30,14 @@
     /// Applies a new configuration file, in one step: nothing is awaited in between.
     pub fn apply_file(&self, config: Config) {
         self.lifecycle.update(|state, _| state.set_max_deadline(config.max_deadline()));
-        let Config { settings, network: net, load_report_fields: fields, .. } = config;
-        self.endpoints.set_zones(net.zones.clone());
-        self.pool.apply_settings(net.idle, net.connect_timeout);
+        let Config { settings, network, load_report_fields: fields, .. } = config;
+        self.endpoints.set_zones(network.zones.clone());
+        self.pool.apply_settings(network.idle, network.connect_timeout);
         self.fields.replace(fields.into());
         match &self.fleet {
-            None => self.frontend.apply_settings(settings, &net.classes, net.tenants),
+            None => self.frontend.apply_settings(settings, &network.classes, network.tenants),
             Some(_) => {
-                self.file_settings.replace(Some((settings, net)));
+                self.file_settings.replace(Some((settings, network)));
                 self.apply_fleet();
             }
         }
@@ -46,16 +46,16 @@
     /// Applies a change of the fleet's state: number of sidecars, shares or plan.
     pub fn apply_fleet(&self) {
         let (file_settings, Some(fleet)) = (self.file_settings.borrow(), &self.fleet) else { return };
-        let Some((settings, net)) = &*file_settings else { return };
+        let Some((settings, network)) = &*file_settings else { return };
         let mut settings = settings.clone();
-        fleet.apply_to_settings(&mut settings, &net.tenants);
+        fleet.apply_to_settings(&mut settings, &network.tenants);
         // The endpoint list is updated before the settings: otherwise the decision module could still choose an endpoint that the
         // new revision excludes.
         let entries = self.endpoints.refresh_adjustments();
         if !entries.is_empty() {
-            self.host.handle_event(Event::EndpointList { scope: ListScope::Changes, entries });
+            self.driver.handle_event(Event::EndpointList { scope: ListScope::Changes, entries });
         }
-        self.frontend.apply_settings(settings, &net.classes, net.tenants.clone());
+        self.frontend.apply_settings(settings, &network.classes, network.tenants.clone());
         if let Some(plan) = fleet.plan() {
             plan.mark_in_force();
         }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -180,7 +180,7 @@
     );
     let active = ActiveSettings {
         frontend: frontend.clone(),
-        host: host.clone(),
+        driver: host.clone(),
         endpoints: endpoints.clone(),
         pool,
         lifecycle: lifecycle.clone(),
--- a/crates/sidecar/src/ops.rs
+++ b/crates/sidecar/src/ops.rs
@@ -66,7 +66,7 @@
 
 /// Serves the operations endpoint.
 pub struct OpsEndpoint<C: Transport> {
-    host: Rc<RequestDriver<C>>,
+    driver: Rc<RequestDriver<C>>,
     endpoints: Rc<EndpointTable>,
     lifecycle: Rc<Lifecycle<C::Platform>>,
     counters: Rc<Counters>,
@@ -85,14 +85,14 @@
 impl<C: Transport> OpsEndpoint<C> {
     /// Creates the endpoint, for a maximum number of concurrent connections.
     pub fn new(
-        host: Rc<RequestDriver<C>>,
+        driver: Rc<RequestDriver<C>>,
         endpoints: Rc<EndpointTable>,
         lifecycle: Rc<Lifecycle<C::Platform>>,
         counters: Rc<Counters>,
         (fleet, connections): (Option<Rc<Fleet<C::Platform>>>, usize),
     ) -> Rc<OpsEndpoint<C>> {
         Rc::new(OpsEndpoint {
-            host,
+            driver,
             endpoints,
             lifecycle,
             counters,
@@ -107,7 +107,7 @@
 
     /// Accepts and serves connections until the future is dropped.
     pub async fn run(self: Rc<Self>, listener: <C::Platform as Platform>::Listener) {
-        let platform = self.host.platform().clone();
+        let platform = self.driver.platform().clone();
         loop {
             // Silent connections must not keep out those with a call: the one that has been silent longest is closed.
             while self.open_connections.get() >= self.max_connections {
@@ -129,12 +129,12 @@
 
     /// Serves one connection.
     async fn serve(&self, mut stream: StreamOf<C>) -> io::Result<()> {
-        let platform = self.host.platform();
+        let platform = self.driver.platform();
         enable_nodelay(&stream);
         let number = self.next_connection.replace(self.next_connection.get() + 1);
         let wake = Rc::new(Notify::new());
         self.pending.borrow_mut().insert(number, wake.clone());
-        let response = self.read_and_answer(&mut stream, &wake).await;
+        let response = self.read_and_respond(&mut stream, &wake).await;
         self.pending.borrow_mut().remove(&number);
         if let Some(response) = response? {
             count(&self.counters.ops_calls);
@@ -146,24 +146,24 @@
 
     /// Reads a call and returns the response to it; `None` if the client disconnected, sent nothing in time or was closed to
     /// make room.
-    async fn read_and_answer(
+    async fn read_and_respond(
         &self,
         stream: &mut StreamOf<C>,
         wake: &Notify,
     ) -> io::Result<Option<bytes::BytesMut>> {
-        let platform = self.host.platform();
+        let platform = self.driver.platform();
         let until = platform.now() + CALL_TIMEOUT;
-        let mut machine = Connection::default();
+        let mut connection = Connection::default();
         loop {
-            match machine.step() {
+            match connection.step() {
                 Step::More => {
                     let read = tokio::select! {
                         biased;
-                        read = stream.read_buf(machine.buffer()) => read?,
+                        read = stream.read_buf(connection.buffer()) => read?,
                         () = wake.notified() => 0,
                         () = platform.sleep_until(until) => {
-                            let is_incomplete = !machine.is_idle();
-                            return Ok(is_incomplete.then(|| error_response(&mut machine, Status::RequestTimeout)));
+                            let is_incomplete = !connection.is_idle();
+                            return Ok(is_incomplete.then(|| error_response(&mut connection, Status::RequestTimeout)));
                         }
                     };
                     if read == 0 {
@@ -171,14 +171,15 @@
                     }
                 }
                 Step::Continue(bytes) => stream.write_all(bytes).await?,
-                Step::Request(request) => return Ok(Some(self.answer(&mut machine, &request).await)),
-                Step::Upload(..) => return Ok(Some(error_response(&mut machine, Status::TooLarge))),
-                Step::Reject(status) => return Ok(Some(error_response(&mut machine, status))),
+                Step::Request(request) => return Ok(Some(self.respond(&mut connection, &request).await)),
+                Step::Upload(..) => return Ok(Some(error_response(&mut connection, Status::TooLarge))),
+                Step::Reject(status) => return Ok(Some(error_response(&mut connection, status))),
             }
         }
     }
 
-    async fn answer(&self, machine: &mut Connection, request: &Request) -> bytes::BytesMut {
+    /// The complete response to a call.
+    async fn respond(&self, connection: &mut Connection, request: &Request) -> bytes::BytesMut {
         let (status, headers, body) = match route(&request.method, request.path()) {
             Ok(call) => {
                 let (status, body) = self.call(call, request).await;
@@ -189,11 +190,12 @@
                 (status, allow.unwrap_or_default(), String::new())
             }
         };
-        let mut message = machine.response_head(status, &headers, body.len(), true);
+        let mut message = connection.response_head(status, &headers, body.len(), true);
         message.extend_from_slice(body.as_bytes());
         message
     }
 
+    /// Executes a call; returns status and body.
     async fn call(&self, call: Call, request: &Request) -> (Status, String) {
         match call {
             Call::Readiness => {
@@ -236,11 +238,11 @@
             registry_entries: self.endpoints.len(),
             registry_age_ms: self
                 .endpoints
-                .confirmed_age(self.host.platform().now())
+                .confirmed_age(self.driver.platform().now())
                 .map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             bar_delay_longest_us: self.counters.bar_delay_longest_us.get(),
             late_sends_barred: self.counters.dispatch_barred.get(),
-            out_of_rotation: self.host.avoided_count(),
+            out_of_rotation: self.driver.avoided_count(),
             cfg_accepted: self.counters.reloads.get(),
             cfg_invalid: self.counters.reload_failures.get(),
         }
--- a/crates/sidecar/tests/fleet.rs
+++ b/crates/sidecar/tests/fleet.rs
@@ -89,14 +89,14 @@
             .spawn()
             .expect("process starts");
         let started = std::time::Instant::now();
-        let answer = loop {
-            let mut answer = String::new();
+        let response = loop {
+            let mut response = String::new();
             if let Ok(mut connection) = std::net::TcpStream::connect(ops)
                 && connection.write_all(b"GET /ops/fleet HTTP/1.1\r\nHost: h\r\n\r\n").is_ok()
-                && connection.read_to_string(&mut answer).is_ok()
-                && !answer.is_empty()
+                && connection.read_to_string(&mut response).is_ok()
+                && !response.is_empty()
             {
-                break answer;
+                break response;
             }
             assert!(
                 started.elapsed() < std::time::Duration::from_secs(20),
@@ -113,9 +113,9 @@
         assert!(plan.starts_with("HTTP/1.1 404"), "{plan}");
         child.kill().expect("process runs");
         child.wait().expect("process ends");
-        assert_eq!(sockets, usize::from(fleet), "{answer}");
-        assert_eq!(answer.starts_with("HTTP/1.1 200"), fleet, "{answer}");
-        assert_eq!(answer.starts_with("HTTP/1.1 404"), !fleet, "{answer}");
+        assert_eq!(sockets, usize::from(fleet), "{response}");
+        assert_eq!(response.starts_with("HTTP/1.1 200"), fleet, "{response}");
+        assert_eq!(response.starts_with("HTTP/1.1 404"), !fleet, "{response}");
     }
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/sidecar/tests/outer_names.rs
+++ b/crates/sidecar/tests/outer_names.rs
@@ -94,7 +94,8 @@
 
 impl Fleet {
     fn start() -> Fleet {
-        let endpoints: Vec<SocketAddr> = (0..2).map(|_| start_endpoint(Duration::ZERO, "", false).0).collect();
+        let endpoints: Vec<SocketAddr> =
+            (0..2).map(|_| start_endpoint(Duration::ZERO, "", false).0).collect();
         let (addresses, discovery) = (sidecar_addresses(4), start_discovery(endpoints.clone()));
         let voters: Vec<String> =
             addresses[..3].iter().map(|address| format!("\"{}\"", address[2])).collect();
@@ -104,7 +105,14 @@
              lease = \"1s\"\n[[budget.whole]]\nuse = \"retries\"\nrate = 200\nburst = 200\n"
         );
         let start = |(i, address): (usize, &[SocketAddr; 3])| {
-            Some(SidecarProcess::start_at(&format!("n{i}"), *address, &endpoints, discovery, false, &sections))
+            Some(SidecarProcess::start_at(
+                &format!("n{i}"),
+                *address,
+                &endpoints,
+                discovery,
+                false,
+                &sections,
+            ))
         };
         let sidecars = addresses.iter().enumerate().map(start).collect();
         let ops = addresses.iter().map(|address| address[1]).collect();
--- a/crates/sidecar/tests/plan.rs
+++ b/crates/sidecar/tests/plan.rs
@@ -44,17 +44,17 @@
         let length = text.len();
         let head =
             format!("{method} /ops/plan{call} HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n{text}");
-        let answer = send_raw(self.sidecars[sidecar].ops, &head).unwrap_or_default();
-        let status = answer.get(9..12).and_then(|status| status.parse().ok()).unwrap_or(0);
-        let body = answer.split("\r\n\r\n").nth(1).unwrap_or_default();
+        let response = send_raw(self.sidecars[sidecar].ops, &head).unwrap_or_default();
+        let status = response.get(9..12).and_then(|status| status.parse().ok()).unwrap_or(0);
+        let body = response.split("\r\n\r\n").nth(1).unwrap_or_default();
         (status, serde_json::from_str(body).unwrap_or_default())
     }
 
     /// Proposes a command that must be applied; returns its number.
     fn propose(&self, sidecar: usize, call: &str, text: &str) -> u64 {
-        let (status, answer) = self.call(sidecar, "PUT", call, text);
-        assert_eq!((status, &answer["taken"]), (200, &Value::Bool(true)), "{call}: {answer}");
-        answer["number"].as_u64().expect("a number")
+        let (status, response) = self.call(sidecar, "PUT", call, text);
+        assert_eq!((status, &response["taken"]), (200, &Value::Bool(true)), "{call}: {response}");
+        response["number"].as_u64().expect("a number")
     }
 
     /// Waits until all sidecars respond, and bootstraps the log.
@@ -62,11 +62,11 @@
         self.wait_until("all operations endpoints respond", |fleet| {
             (0..4).all(|sidecar| fleet.call(sidecar, "GET", "", "").0 == 200)
         });
-        let (status, answer) = self.call(3, "PUT", "/propose", "version = 1\n");
-        assert_eq!((status, answer["code"].as_str()), (503, Some("log.not-founded")), "{answer}");
+        let (status, response) = self.call(3, "PUT", "/propose", "version = 1\n");
+        assert_eq!((status, response["code"].as_str()), (503, Some("log.not-founded")), "{response}");
         self.wait_until("the log is bootstrapped", |fleet| {
-            let (status, answer) = fleet.call(3, "PUT", "/refound", "");
-            status == 200 || answer["code"] == "log.has-leader"
+            let (status, response) = fleet.call(3, "PUT", "/refound", "");
+            status == 200 || response["code"] == "log.has-leader"
         });
         self.wait_in_force(0);
         self
