--- a/crates/sidecar/src/active_settings.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -49,8 +49,8 @@
         let Some((settings, network)) = &*file_settings else { return };
         let mut settings = settings.clone();
         fleet.apply_to_settings(&mut settings, &network.tenants);
-        // The endpoint list is updated before the settings: otherwise the decision module could still choose an endpoint that the
-        // new revision excludes.
+        // The endpoint list is updated before the settings: otherwise the decision module could still choose an endpoint
+        // that the new revision excludes.
         let entries = self.endpoints.refresh_adjustments();
         if !entries.is_empty() {
             self.driver.handle_event(Event::EndpointList { scope: ListScope::Changes, entries });
--- a/crates/sidecar/src/budget_driver.rs
+++ b/crates/sidecar/src/budget_driver.rs
@@ -87,6 +87,7 @@
         self.platform.since(self.origin)
     }
 
+    /// Index of the limit that applies to a use.
     fn limit_of(&self, kind: &BudgetUse) -> Option<usize> {
         self.uses.iter().position(|budget_use| budget_use == kind)
     }
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Acquires one unit of a limit given by its position in the file, as the emulator's load does. Returns `None` if the limit
-    /// is exhausted, and a guard for a concurrency limit.
+    /// Acquires one unit of a limit given by its position in the file, as the emulator's load does. Returns `None` if the
+    /// limit is exhausted, and a guard for a concurrency limit.
     pub fn try_use(self: &Rc<Self>, limit: usize) -> Option<Option<ConcurrencyGuard<P>>> {
         self.try_acquire(limit).ok()?;
         let is_concurrency =
@@ -169,8 +170,8 @@
         Some(is_concurrency.then(|| ConcurrencyGuard(self.clone(), limit)))
     }
 
-    /// Sets the tenants' quotas so that the decision module enforces this sidecar's own shares. The module divides a quota by
-    /// the number of sidecars, so the share is multiplied by that number.
+    /// Sets the tenants' quotas so that the decision module enforces this sidecar's own shares. The module divides a quota
+    /// by the number of sidecars, so the share is multiplied by that number.
     pub fn apply_to_settings(&self, settings: &mut Settings, tenants: &[String]) {
         let (now, budget) = (self.now(), self.budget.borrow());
         for (limit, budget_use) in self.uses.iter().enumerate() {
--- a/crates/sidecar/src/fleet.rs
+++ b/crates/sidecar/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleet driver: runs the [`Membership`] protocol on a [`Platform`], and carries the datagrams of the budget and plan drivers.
-//! Requests never wait for it; what it learns reaches the decision module as settings.
+//! Fleet driver: runs the [`Membership`] protocol on a [`Platform`], and carries the datagrams of the budget and plan
+//! drivers. Requests never wait for it; what it learns reaches the decision module as settings.
 
 use crate::budget_driver::{BudgetDriver, BudgetParts, ConcurrencyGuard};
 use crate::http::server::Request;
@@ -23,8 +23,8 @@
 const MAX_INCOMING_CONNECTIONS: usize = 8;
 /// Maximum number of concurrent outgoing messages that are too long for a datagram.
 const MAX_OUTGOING_LONG_MESSAGES: usize = 16;
-/// First bytes of a connection that carries one long message. A connection for a view exchange starts with the view's length,
-/// and no view is as long as these bytes would mean.
+/// First bytes of a connection that carries one long message. A connection for a view exchange starts with the view's
+/// length, and no view is as long as these bytes would mean.
 const LONG_MESSAGE_PREFIX: &[u8; 4] = b"cl\xff\xff";
 /// Time limit of an exchange or of one long message.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -59,9 +59,11 @@
     origin: Instant,
     tier: u8,
     headcount: RefCell<Headcount>,
-    /// Number of sidecars as last reported to [`Fleet::changed`].
+    /// Number of sidecars that was announced last through `changes`.
     sidecar_count: Cell<u32>,
+    /// Signals a change of the number of sidecars, of a share or of the plan.
     changes: Notify,
+    /// Signals that a view exchange or an incoming connection has ended.
     wake: Notify,
     outgoing_exchanges: Cell<usize>,
     incoming_connections: Cell<usize>,
@@ -147,6 +149,7 @@
         }
     }
 
+    /// Passes a datagram to the protocol that it belongs to.
     fn receive(&self, from: SocketAddr, bytes: &[u8]) {
         if let Some(plan) = self.plan.as_ref().filter(|_| cometcroft_consensus::is_consensus_message(bytes)) {
             plan.receive(bytes);
@@ -214,8 +217,8 @@
                     let mut stream = fleet.platform.connect_from(fleet.from, to.into()).await?;
                     stream.write_all(LONG_MESSAGE_PREFIX).await?;
                     write_frame(&mut stream, &bytes).await?;
-                    // Wait until the receiver closes: closing first, with unread bytes, would reset the connection and lose what
-                    // was sent.
+                    // Wait until the receiver closes the connection: closing first, with unread bytes, would reset it and
+                    // lose what was sent.
                     stream.read(&mut [0]).await
                 };
                 let _ = fleet.platform.timeout(EXCHANGE_TIMEOUT, send).await;
@@ -237,6 +240,7 @@
         Ok(())
     }
 
+    /// Accepts connections that carry a view exchange or one long message.
     async fn serve(self: Rc<Self>, listener: P::Listener) {
         loop {
             let accepted = listener.accept().await;
@@ -300,8 +304,8 @@
         self.budget.as_ref().map_or(Ok(None), |budget| budget.admit(tenant))
     }
 
-    /// Returns whether an attempt may be sent. The first always may; a retry needs the consent of the plan's rules and of the
-    /// budget.
+    /// Returns whether an attempt may be sent. The first always may; a retry needs the consent of the plan's rules and of
+    /// the budget.
     pub fn allow_attempt(&self, request: &Request, first: bool, after: Option<RetryCause>) -> bool {
         // A sidecar without a retry limit must not count the whole fleet's retries as its own share.
         let equal_share = 1.0 / f64::from(self.sidecar_count().max(1));
@@ -331,8 +335,8 @@
         }
     }
 
-    /// Applies the fleet's state to the settings: the number of sidecars, this sidecar's shares of the tenants' quotas, and the
-    /// limits of the plan's revision.
+    /// Applies the fleet's state to the settings: the number of sidecars, this sidecar's shares of the tenants' quotas, and
+    /// the limits of the plan's revision.
     pub fn apply_to_settings(&self, settings: &mut Settings, tenants: &[String]) {
         settings.instances = self.sidecar_count();
         if let Some(budget) = &self.budget {
--- a/crates/sidecar/src/operator_file.rs
+++ b/crates/sidecar/src/operator_file.rs
@@ -14,7 +14,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Default of `longest_pause`, in seconds.
+/// Default of `longest_pause`: 2 s.
 const DEFAULT_MAX_PAUSE: Time = Time(2.0, 2.0);
 /// Default of `most`.
 const DEFAULT_MAX_MEMBERS: usize = 4096;
--- a/crates/sidecar/src/plan_driver.rs
+++ b/crates/sidecar/src/plan_driver.rs
@@ -22,7 +22,8 @@
 use thiserror::Error;
 use tokio::sync::Notify;
 
-/// Maximum interval between status reports to the voters.
+/// Mean interval between status reports to the voters. A newly applied position is reported at once. Also the time after
+/// which the leader may repeat a proposal.
 const STATUS_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which the leader runs the controller.
 const CONTROLLER_INTERVAL: Duration = Duration::from_millis(100);
@@ -133,6 +134,7 @@
     }
 }
 
+/// The latest status report of a sidecar.
 struct ReceivedStatus {
     received_at: Time,
     report: StatusReport,
@@ -196,9 +198,9 @@
         let generation = local.generation;
         // Sidecars with the same configuration have the same seed. If two of them drew the same id for two commands, the
         // second command would be answered with the outcome of the first.
-        let own =
+        let process_hash =
             cometcroft_settings::hash(local.name.as_str()) ^ generation.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let seed = seed ^ own;
+        let seed = seed ^ process_hash;
         let log = Log::new(config, Time::ZERO, generation, seed);
         Rc::new(PlanDriver {
             origin: platform.now(),
@@ -242,10 +244,10 @@
     }
 
     pub(crate) fn next_wakeup(&self) -> Instant {
-        let own = self.next_status_at.get().min(self.next_peer_refresh_at.get());
+        let next = self.next_status_at.get().min(self.next_peer_refresh_at.get());
         let log = self.log.borrow();
-        let own = if log.leads(self.now()) { own.min(self.next_controller_at.get()) } else { own };
-        self.origin + log.next_at().min(own)
+        let next = if log.leads(self.now()) { next.min(self.next_controller_at.get()) } else { next };
+        self.origin + log.next_at().min(next)
     }
 
     pub(crate) fn tick(&self, members: &Membership) {
@@ -275,6 +277,7 @@
         }
     }
 
+    /// Records a status report that was received from a sidecar.
     fn record_status(&self, report: StatusReport) {
         let received_at = self.now();
         self.controller.borrow_mut().record_attempts(&report.name, report.attempt_counts);
@@ -361,6 +364,7 @@
         self.readiness.borrow().as_ref().is_none_or(|readiness| readiness())
     }
 
+    /// Reports this sidecar's status to the voters, and records it if this sidecar is one of them.
     fn send_status(&self, now: Time) {
         self.next_status_at.set(now + STATUS_INTERVAL.mul_f64(0.8 + 0.4 * self.rng.borrow_mut().f64()));
         let report = StatusReport {
@@ -655,7 +659,7 @@
         Ok(plan.text(revision).ok_or_else(not_kept)?.to_owned())
     }
 
-    /// Index of the last log entry in force at this sidecar, and the revision in force.
+    /// The index of the last log entry in force at this sidecar, and the revision in force.
     pub fn in_force(&self) -> (u64, u32) {
         (self.in_force.get().index, self.revision.get())
     }
--- a/crates/sidecar/tests/outer_names.rs
+++ b/crates/sidecar/tests/outer_names.rs
@@ -40,9 +40,9 @@
     }
 }
 
-fn assert_paths(answers: &[Value], expected: &str) {
+fn assert_paths(responses: &[Value], expected: &str) {
     let mut found = BTreeSet::new();
-    answers.iter().for_each(|answer| paths(answer, "", &mut found));
+    responses.iter().for_each(|response| paths(response, "", &mut found));
     let found: Vec<String> = found.into_iter().collect();
     let expected: Vec<&str> = expected.split_whitespace().collect();
     assert_eq!(found, expected, "\n{}\n", found.join(" "));
@@ -123,18 +123,18 @@
         let length = text.len();
         let head =
             format!("{method} /ops/{path} HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n{text}");
-        let answer = send_raw(self.ops[sidecar], &head).unwrap_or_default();
-        let status = answer.get(9..12).and_then(|status| status.parse().ok()).unwrap_or(0);
-        let body = answer.split("\r\n\r\n").nth(1).unwrap_or_default();
+        let response = send_raw(self.ops[sidecar], &head).unwrap_or_default();
+        let status = response.get(9..12).and_then(|status| status.parse().ok()).unwrap_or(0);
+        let body = response.split("\r\n\r\n").nth(1).unwrap_or_default();
         (status, serde_json::from_str(body).unwrap_or_default())
     }
 
     /// Proposes a command that must be applied; returns its number.
     fn propose(&self, sidecar: usize, call: &str, text: &str) -> u64 {
-        let (status, answer) = self.call(sidecar, "PUT", &format!("plan/{call}"), text);
-        assert_eq!(status, 200, "{call}: {answer}");
-        assert_paths(std::slice::from_ref(&answer), "index number taken");
-        answer["number"].as_u64().expect("a number")
+        let (status, response) = self.call(sidecar, "PUT", &format!("plan/{call}"), text);
+        assert_eq!(status, 200, "{call}: {response}");
+        assert_paths(std::slice::from_ref(&response), "index number taken");
+        response["number"].as_u64().expect("a number")
     }
 
     /// Queries the first sidecar until a condition on its plan and its view holds, for at most 40 s.
@@ -171,8 +171,8 @@
 }
 
 /// Distinct values of a key in the entries of an array, over all responses.
-fn texts(answers: &[Value], array: &str, key: &str) -> Vec<String> {
-    let entries = answers.iter().filter_map(|answer| answer[array].as_array()).flatten();
+fn texts(responses: &[Value], array: &str, key: &str) -> Vec<String> {
+    let entries = responses.iter().filter_map(|response| response[array].as_array()).flatten();
     let texts: BTreeSet<String> =
         entries.filter_map(|entry| entry[key].as_str().map(str::to_owned)).collect();
     texts.into_iter().collect()
@@ -187,11 +187,11 @@
     assert_paths(&[response], "code do text");
     let until = Instant::now() + Duration::from_secs(40);
     let bootstrapped = loop {
-        let (status, answer) = fleet.call(0, "PUT", "plan/refound", "");
+        let (status, response) = fleet.call(0, "PUT", "plan/refound", "");
         if status == 200 {
-            break answer;
+            break response;
         }
-        assert!(Instant::now() < until, "{answer}");
+        assert!(Instant::now() < until, "{response}");
         std::thread::sleep(Duration::from_millis(50));
     };
     assert_paths(&[bootstrapped], "founded index");
@@ -201,8 +201,8 @@
             && plan["behind"] == Value::Array(Vec::new())
     });
 
-    // The drain of an endpoint is clear once all sidecars have confirmed it. One sidecar leaves with its permit, and another one
-    // has to wait.
+    // The drain of an endpoint is clear once all sidecars have confirmed it. One sidecar leaves with its permit, and
+    // another one has to wait.
     let drain = fleet.propose(1, "drain?server=s0&reason=disk+full", "");
     fleet.wait_for_permit(drain, "clear");
     fleet.propose(0, &format!("return?permit={drain}"), "");
--- a/crates/sidecar/tests/plan.rs
+++ b/crates/sidecar/tests/plan.rs
@@ -209,7 +209,8 @@
     let waits = plan["permits"].as_array().and_then(|all| all.iter().find(|it| it["number"] == permits[1]));
     let waits = waits.and_then(|it| it["waits_for"].as_str()).unwrap_or_default().to_owned();
     assert!(waits.contains("n2"), "{plan}");
-    // The first sidecar, a voter, is back with an empty log: it is readmitted, its permit is returned, and the next one leaves.
+    // The first sidecar, a voter, is back with an empty log: it is readmitted, its permit is returned, and the next one
+    // leaves.
     fleet.sidecars[2] = (fleet.start)(2);
     wait_until_ended(&mut fleet, 3);
     fleet
