--- a/crates/sidecar/src/fleet.rs
+++ b/crates/sidecar/src/fleet.rs
@@ -63,7 +63,7 @@
     sidecar_count: Cell<u32>,
     /// Signals a change of the number of sidecars, of a share or of the plan.
     changes: Notify,
-    /// Signals that a view exchange or an incoming connection has ended.
+    /// Wakes [`Fleet::run`] after a change of the membership outside of its loop.
     wake: Notify,
     outgoing_exchanges: Cell<usize>,
     incoming_connections: Cell<usize>,
