--- a/crates/capacity/src/target.rs
+++ b/crates/capacity/src/target.rs
@@ -1,6 +1,6 @@
 //! The target file: the size, the load and the limits to plan for.
 
-use cometcroft_tomlfile::{FileError, Time, key};
+use cometcroft_tomlfile::{FileError, Time, key_at};
 use serde::Deserialize;
 
 /// All targets.
@@ -179,7 +179,7 @@
 fn position(text: &str, field: &str) -> usize {
     let mut start = 0;
     for line in text.split_inclusive('\n') {
-        if key(line, 0) == field {
+        if key_at(line, 0) == field {
             return start;
         }
         start += line.len();
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -240,14 +240,14 @@
         Ok(())
     }
 
-    fn quiet(&self) -> bool {
+    fn is_idle(&self) -> bool {
         // Danger: a sidecar that saw that something had come would hold requests back until it has read that.
         let is_hidden = !self.hears_late.is_zero() && self.peer == Peer::Discovery;
         let quiet = self.kernel.net.borrow_mut().quiet(self.conn, self.side);
         quiet || is_hidden
     }
 
-    fn ended(&self) -> bool {
+    fn is_read_closed(&self) -> bool {
         self.kernel.net.borrow().has_ended(self.conn, self.side)
     }
 }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -2,7 +2,7 @@
 //!
 //! Every error is one line: file, line, column, field, reason. `docs/scenarios.md` is the reference.
 
-use cometcroft_tomlfile::place;
+use cometcroft_tomlfile::line_and_column;
 pub use cometcroft_tomlfile::{Span, Time};
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -636,7 +636,7 @@
                 let start = at == 0 || body.as_bytes()[at - 1] == b'\n';
                 start && body[at + field.len()..].trim_start().starts_with('=')
             });
-            let (line, column) = place(text, table + written.unwrap_or(0));
+            let (line, column) = line_and_column(text, table + written.unwrap_or(0));
             ScenarioError(format!("{file}:{line}:{column}: {field}: {reason}"))
         })?;
         Ok(scenario)
--- a/crates/emulator/tests/resets.rs
+++ b/crates/emulator/tests/resets.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use cometcroft_emulator::net::{Arrival, ConnId, Links, Net, Owner, Party};
-use cometcroft_platform::{Platform, Resumed, Stream, Tokio};
+use cometcroft_platform::{Platform, RetryingStream, Stream, Tokio};
 use std::io;
 use std::net::SocketAddr;
 use std::task::Waker;
@@ -49,7 +49,7 @@
 const PATIENCE: Duration = Duration::from_secs(5);
 
 /// Both ends of a connection over the loopback interface: the receiver's, as sidecars hold it, and the peer's.
-async fn connection() -> (Resumed<TcpStream>, TcpStream) {
+async fn connection() -> (RetryingStream<TcpStream>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let address = listener.local_addr().expect("it has one");
     let (receiver, accepted) = tokio::join!(Tokio.connect(address), listener.accept());
@@ -57,7 +57,7 @@
 }
 
 /// Waits until so many bytes, or an end or error, have arrived; none of it is taken.
-async fn arrived(receiver: &Resumed<TcpStream>, bytes: usize) {
+async fn arrived(receiver: &RetryingStream<TcpStream>, bytes: usize) {
     let mut buffer = vec![0; bytes.max(1)];
     while receiver.get_ref().peek(&mut buffer).await.is_ok_and(|count| count > 0 && count < bytes) {
         Tokio.sleep(Duration::from_millis(1)).await;
@@ -94,7 +94,7 @@
                 unread -= read.as_ref().map_or(0, |count| *count);
                 seen.push(seen_by_read(read));
             }
-            Step::AskQuiet => seen.push(Seen::Quiet(receiver.quiet())),
+            Step::AskQuiet => seen.push(Seen::Quiet(receiver.is_idle())),
         }
     }
     seen
--- a/crates/hollow/src/counted.rs
+++ b/crates/hollow/src/counted.rs
@@ -199,11 +199,11 @@
         self.inner.set_nodelay()
     }
 
-    fn quiet(&self) -> bool {
-        self.inner.quiet()
+    fn is_idle(&self) -> bool {
+        self.inner.is_idle()
     }
 
-    fn ended(&self) -> bool {
-        self.inner.ended()
+    fn is_read_closed(&self) -> bool {
+        self.inner.is_read_closed()
     }
 }
--- a/crates/inherit/src/lib.rs
+++ b/crates/inherit/src/lib.rs
@@ -12,40 +12,40 @@
 
 /// Why a descriptor is not taken over.
 #[derive(Debug)]
-pub enum Refused {
+pub enum InheritError {
     /// It is a standard stream, or no number that a descriptor can have.
-    Number,
+    InvalidNumber,
     /// A descriptor has been taken over before.
-    Twice,
+    AlreadyTaken,
     /// The system says that it is not open, or no socket.
     System(io::Error),
     /// It is a socket, but not one that listens for TCP over IPv4 or IPv6.
-    Kind,
+    NotAListener,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for InheritError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Number => f.write_str("is not the number of an inherited descriptor"),
-            Refused::Twice => f.write_str("has been taken over before"),
-            Refused::System(error) => write!(f, "can't be taken over: {error}"),
-            Refused::Kind => f.write_str("is no listening TCP socket"),
+            InheritError::InvalidNumber => f.write_str("is not the number of an inherited descriptor"),
+            InheritError::AlreadyTaken => f.write_str("has been taken over before"),
+            InheritError::System(error) => write!(f, "can't be taken over: {error}"),
+            InheritError::NotAListener => f.write_str("is no listening TCP socket"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for InheritError {}
 
 static TAKEN: AtomicBool = AtomicBool::new(false);
 
 /// The listening TCP socket with this number, set not to block. Once a process: to be called before anything else opens
 /// descriptors, so that the number can only stand for what was inherited.
-pub fn listener(number: RawFd) -> Result<TcpListener, Refused> {
+pub fn take_listener(number: RawFd) -> Result<TcpListener, InheritError> {
     if number <= 2 {
-        return Err(Refused::Number);
+        return Err(InheritError::InvalidNumber);
     }
     if TAKEN.swap(true, Ordering::Relaxed) {
-        return Err(Refused::Twice);
+        return Err(InheritError::AlreadyTaken);
     }
     // SAFETY: the number is not negative. Nothing else in this process owns the descriptor: it was open before `main`
     // by the contract above, no other code here makes an owner from a number, and `TAKEN` lets this run once. Should
@@ -56,9 +56,9 @@
         Ok(tcp && socket.is_listener()?)
     })();
     let fit = match listens {
-        Ok(true) => socket.set_nonblocking(true).map_err(Refused::System),
-        Ok(false) => Err(Refused::Kind),
-        Err(error) => Err(Refused::System(error)),
+        Ok(true) => socket.set_nonblocking(true).map_err(InheritError::System),
+        Ok(false) => Err(InheritError::NotAListener),
+        Err(error) => Err(InheritError::System(error)),
     };
     match fit {
         Ok(()) => Ok(socket.into()),
--- a/crates/latency/src/service.rs
+++ b/crates/latency/src/service.rs
@@ -1,7 +1,7 @@
 //! Stand-in services on a thread of their own: each answers by itself, or calls the next sidecar of a chain.
 
 use crate::load::{header, request};
-use cometcroft_platform::{Platform, Resumed, Tokio};
+use cometcroft_platform::{Platform, RetryingStream, Tokio};
 use cometcroft_rig::{discovery, hear};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -188,7 +188,7 @@
 /// The sidecar that a service calls, with connections that are kept.
 struct Next {
     target: SocketAddr,
-    idle: RefCell<Vec<Resumed<TcpStream>>>,
+    idle: RefCell<Vec<RetryingStream<TcpStream>>>,
     /// Numbers of calls that are retried differ from the call's own.
     repeats: Cell<u64>,
 }
--- a/crates/plan/src/content.rs
+++ b/crates/plan/src/content.rs
@@ -244,7 +244,7 @@
     /// Parses and validates a text. `file` is the name that errors show.
     pub fn parse(text: &str, file: &str) -> Result<RevisionContent, FileError> {
         if text.len() > MAX_TEXT_BYTES {
-            return Err(FileError::of(file, format!("{} bytes, {MAX_TEXT_BYTES} at most", text.len())));
+            return Err(FileError::new(file, format!("{} bytes, {MAX_TEXT_BYTES} at most", text.len())));
         }
         let content: RevisionContent = read(text, file)?;
         content.validate().map_err(|InvalidField { table, field, reason }| {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -9,8 +9,8 @@
 mod resumed;
 mod tokio_rt;
 
-pub use resumed::{Resumed, uninterrupted};
-pub use tokio_rt::{Local, Tokio};
+pub use resumed::{RetryingStream, retry_interrupted};
+pub use tokio_rt::{LocalTask, Tokio};
 
 use std::fmt::Debug;
 use std::future::Future;
@@ -42,9 +42,9 @@
     /// Sends small writes at once.
     fn set_nodelay(&self) -> io::Result<()>;
     /// Neither its end nor bytes that nobody asked for have come, as the socket itself tells now.
-    fn quiet(&self) -> bool;
+    fn is_idle(&self) -> bool;
     /// The peer has ended its sending, or the connection has broken, also where bytes that came before that are unread.
-    fn ended(&self) -> bool;
+    fn is_read_closed(&self) -> bool;
 }
 
 /// A listening socket. Dropped, it takes no further connection.
--- a/crates/platform/src/resumed.rs
+++ b/crates/platform/src/resumed.rs
@@ -15,7 +15,7 @@
 /// A stream whose reads and writes are made again where they were interrupted (`EINTR`) or there was no memory for them
 /// (`ENOBUFS`, `ENOMEM`). A lack may last; whoever reads or writes bounds the wait.
 #[derive(Debug)]
-pub struct Resumed<S> {
+pub struct RetryingStream<S> {
     stream: S,
     read_pause: Pause,
     write_pause: Pause,
@@ -24,21 +24,21 @@
 /// The time until a call is made again; none where the last one was not short of memory.
 type Pause = Option<Pin<Box<Sleep>>>;
 
-impl<S> Resumed<S> {
+impl<S> RetryingStream<S> {
     /// The stream itself.
     pub fn get_ref(&self) -> &S {
         &self.stream
     }
 }
 
-impl<S> From<S> for Resumed<S> {
-    fn from(stream: S) -> Resumed<S> {
-        Resumed { stream, read_pause: None, write_pause: None }
+impl<S> From<S> for RetryingStream<S> {
+    fn from(stream: S) -> RetryingStream<S> {
+        RetryingStream { stream, read_pause: None, write_pause: None }
     }
 }
 
 /// The first result of a call that no signal interrupted. A call that was interrupted has done nothing.
-pub async fn uninterrupted<T, F: Future<Output = io::Result<T>>>(
+pub async fn retry_interrupted<T, F: Future<Output = io::Result<T>>>(
     mut call: impl FnMut() -> F,
 ) -> io::Result<T> {
     loop {
@@ -78,30 +78,30 @@
     Box::pin(tokio::time::sleep(LACK_PAUSE))
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Resumed<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for RetryingStream<S> {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let Resumed { stream, read_pause, .. } = self.get_mut();
+        let RetryingStream { stream, read_pause, .. } = self.get_mut();
         resume(read_pause, context, |context| Pin::new(&mut *stream).poll_read(context, buffer))
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Resumed<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for RetryingStream<S> {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let Resumed { stream, write_pause, .. } = self.get_mut();
+        let RetryingStream { stream, write_pause, .. } = self.get_mut();
         resume(write_pause, context, |context| Pin::new(&mut *stream).poll_write(context, bytes))
     }
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let Resumed { stream, write_pause, .. } = self.get_mut();
+        let RetryingStream { stream, write_pause, .. } = self.get_mut();
         resume(write_pause, context, |context| Pin::new(&mut *stream).poll_flush(context))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let Resumed { stream, write_pause, .. } = self.get_mut();
+        let RetryingStream { stream, write_pause, .. } = self.get_mut();
         resume(write_pause, context, |context| Pin::new(&mut *stream).poll_shutdown(context))
     }
 }
--- a/crates/platform/src/tokio_rt.rs
+++ b/crates/platform/src/tokio_rt.rs
@@ -2,7 +2,7 @@
 //! sockets and tasks directly; `clippy.toml` keeps the other packages to that.
 #![allow(clippy::disallowed_methods)]
 
-use crate::{Datagrams, Listener, Platform, Resumed, Stream, Task, uninterrupted};
+use crate::{Datagrams, Listener, Platform, RetryingStream, Stream, Task, retry_interrupted};
 use std::future::Future;
 use std::io;
 use std::mem::MaybeUninit;
@@ -20,27 +20,27 @@
 
 /// A local task of tokio.
 #[derive(Debug)]
-pub struct Local(JoinHandle<()>);
+pub struct LocalTask(JoinHandle<()>);
 
-impl Future for Local {
+impl Future for LocalTask {
     type Output = ();
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         Pin::new(&mut self.0).poll(cx).map(|_| ())
     }
 }
 
-impl Task for Local {
+impl Task for LocalTask {
     fn abort(&self) {
         self.0.abort();
     }
 }
 
-impl Stream for Resumed<TcpStream> {
+impl Stream for RetryingStream<TcpStream> {
     fn set_nodelay(&self) -> io::Result<()> {
         self.get_ref().set_nodelay(true)
     }
 
-    fn quiet(&self) -> bool {
+    fn is_idle(&self) -> bool {
         // The runtime may not have heard of them yet, so the socket itself is asked.
         let mut byte = [MaybeUninit::uninit()];
         let socket = socket2::SockRef::from(self.get_ref());
@@ -52,7 +52,7 @@
         }
     }
 
-    fn ended(&self) -> bool {
+    fn is_read_closed(&self) -> bool {
         let ready = pin!(self.get_ref().ready(Interest::READABLE));
         let polled = ready.poll(&mut Context::from_waker(Waker::noop()));
         matches!(polled, Poll::Ready(Ok(ready)) if ready.is_read_closed())
@@ -60,9 +60,9 @@
 }
 
 impl Listener for TcpListener {
-    type Stream = Resumed<TcpStream>;
-    async fn accept(&self) -> io::Result<Resumed<TcpStream>> {
-        let (stream, _) = uninterrupted(|| TcpListener::accept(self)).await?;
+    type Stream = RetryingStream<TcpStream>;
+    async fn accept(&self) -> io::Result<RetryingStream<TcpStream>> {
+        let (stream, _) = retry_interrupted(|| TcpListener::accept(self)).await?;
         Ok(stream.into())
     }
 }
@@ -88,10 +88,10 @@
 }
 
 impl Platform for Tokio {
-    type Stream = Resumed<TcpStream>;
+    type Stream = RetryingStream<TcpStream>;
     type Listener = TcpListener;
     type Datagrams = UdpSocket;
-    type Task = Local;
+    type Task = LocalTask;
 
     fn now(&self) -> Instant {
         tokio::time::Instant::now().into_std()
@@ -105,21 +105,21 @@
         tokio::time::sleep_until(at.into())
     }
 
-    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Local {
-        Local(tokio::task::spawn_local(task))
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> LocalTask {
+        LocalTask(tokio::task::spawn_local(task))
     }
 
-    async fn connect(&self, to: SocketAddr) -> io::Result<Resumed<TcpStream>> {
+    async fn connect(&self, to: SocketAddr) -> io::Result<RetryingStream<TcpStream>> {
         // The socket of an attempt that a signal interrupted is closed with it: the next one has its own.
-        Ok(uninterrupted(|| TcpStream::connect(to)).await?.into())
+        Ok(retry_interrupted(|| TcpStream::connect(to)).await?.into())
     }
 
-    async fn connect_from(&self, from: IpAddr, to: SocketAddr) -> io::Result<Resumed<TcpStream>> {
+    async fn connect_from(&self, from: IpAddr, to: SocketAddr) -> io::Result<RetryingStream<TcpStream>> {
         let attempt = async || {
             let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
             socket.bind(SocketAddr::new(from, 0))?;
             socket.connect(to).await
         };
-        Ok(uninterrupted(attempt).await?.into())
+        Ok(retry_interrupted(attempt).await?.into())
     }
 }
--- a/crates/platform/tests/lacking.rs
+++ b/crates/platform/tests/lacking.rs
@@ -1,7 +1,7 @@
 //! A read or a write that fails for lack of memory has done nothing, and its connection is sound: it is made again.
 #![allow(clippy::disallowed_methods)]
 
-use cometcroft_platform::Resumed;
+use cometcroft_platform::RetryingStream;
 use std::io;
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -66,10 +66,10 @@
 fn what_failed_for_lack_of_memory_is_made_again_and_loses_nothing() {
     for error in [ENOBUFS, ENOMEM] {
         run(async {
-            let mut stream = Resumed::from(Lacking::new(error, 3));
+            let mut stream = RetryingStream::from(Lacking::new(error, 3));
             stream.write_all(b"hello").await.expect("written");
             assert_eq!((stream.get_ref().written.as_slice(), stream.get_ref().calls), (&b"hello"[..], 4));
-            let mut stream = Resumed::from(Lacking::new(error, 3));
+            let mut stream = RetryingStream::from(Lacking::new(error, 3));
             let mut bytes = [0; 2];
             stream.read_exact(&mut bytes).await.expect("read");
             assert_eq!((&bytes, stream.get_ref().calls), (b"hi", 4));
@@ -81,7 +81,7 @@
 #[test]
 fn a_lack_that_lasts_is_asked_after_now_and_then() {
     run(async {
-        let mut stream = Resumed::from(Lacking::new(ENOBUFS, u32::MAX));
+        let mut stream = RetryingStream::from(Lacking::new(ENOBUFS, u32::MAX));
         let waited = tokio::time::timeout(Duration::from_millis(60), stream.write_all(b"hello")).await;
         assert!(waited.is_err(), "{waited:?}");
         let calls = stream.get_ref().calls;
@@ -94,7 +94,7 @@
 fn other_errors_are_told() {
     const ECONNRESET: i32 = 104;
     run(async {
-        let mut stream = Resumed::from(Lacking::new(ECONNRESET, 1));
+        let mut stream = RetryingStream::from(Lacking::new(ECONNRESET, 1));
         let error = stream.write_all(b"hello").await.expect_err("a reset");
         assert_eq!(error.raw_os_error(), Some(ECONNRESET));
     });
--- a/crates/platform/tests/resumed.rs
+++ b/crates/platform/tests/resumed.rs
@@ -1,6 +1,6 @@
 //! What a signal interrupts is made again.
 
-use cometcroft_platform::{Resumed, uninterrupted};
+use cometcroft_platform::{RetryingStream, retry_interrupted};
 use std::cell::Cell;
 use std::io;
 use std::pin::Pin;
@@ -58,7 +58,7 @@
 fn interrupted_reads_and_writes_are_made_again_and_lose_nothing() {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     runtime.block_on(async {
-        let mut stream = Resumed::from(Interrupting::default());
+        let mut stream = RetryingStream::from(Interrupting::default());
         stream.write_all(b"hello").await.expect("written");
         let mut bytes = [0; 4];
         stream.read_exact(&mut bytes).await.expect("read");
@@ -76,9 +76,9 @@
             calls.set(calls.get() + 1);
             if calls.get() < 3 { Err(io::ErrorKind::Interrupted.into()) } else { Ok(calls.get()) }
         };
-        assert_eq!(uninterrupted(interrupted_twice).await.expect("made"), 3);
+        assert_eq!(retry_interrupted(interrupted_twice).await.expect("made"), 3);
         let refused = || async { Err::<(), _>(io::Error::from(io::ErrorKind::ConnectionRefused)) };
-        let error = uninterrupted(refused).await.expect_err("refused");
+        let error = retry_interrupted(refused).await.expect_err("refused");
         assert_eq!(error.kind(), io::ErrorKind::ConnectionRefused);
     });
 }
--- a/crates/platformfaults/src/addressed.rs
+++ b/crates/platformfaults/src/addressed.rs
@@ -1,6 +1,6 @@
 //! Streams that can tell between which addresses they lead.
 
-use cometcroft_platform::Resumed;
+use cometcroft_platform::RetryingStream;
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
@@ -13,7 +13,7 @@
     fn peer(&self) -> io::Result<SocketAddr>;
 }
 
-impl Addressed for Resumed<TcpStream> {
+impl Addressed for RetryingStream<TcpStream> {
     fn local(&self) -> io::Result<SocketAddr> {
         self.get_ref().local_addr()
     }
--- a/crates/platformfaults/src/datagrams.rs
+++ b/crates/platformfaults/src/datagrams.rs
@@ -2,7 +2,7 @@
 
 use crate::addressed::Addressed;
 use crate::platform::Faulty;
-use cometcroft_platform::{Datagrams, Platform, uninterrupted};
+use cometcroft_platform::{Datagrams, Platform, retry_interrupted};
 use rustix::io::Errno;
 use std::io;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
         if let Some(wait) = self.platform.draw.receive_wait() {
             self.platform.inner.sleep(wait).await;
         }
-        uninterrupted(async || match self.platform.draw.receive() {
+        retry_interrupted(async || match self.platform.draw.receive() {
             Some(error) => Err(self.platform.failed("receive", error)),
             None => Ok(()),
         })
--- a/crates/platformfaults/src/injected.rs
+++ b/crates/platformfaults/src/injected.rs
@@ -50,12 +50,12 @@
         stream.set_nodelay()
     }
 
-    pub(crate) fn quiet(&self) -> bool {
-        self.stream.as_ref().is_some_and(Stream::quiet)
+    pub(crate) fn is_idle(&self) -> bool {
+        self.stream.as_ref().is_some_and(Stream::is_idle)
     }
 
-    pub(crate) fn ended(&self) -> bool {
-        self.stream.as_ref().is_none_or(Stream::ended)
+    pub(crate) fn is_read_closed(&self) -> bool {
+        self.stream.as_ref().is_none_or(Stream::is_read_closed)
     }
 
     fn break_with(&mut self, call: &'static str, error: Errno) -> io::Error {
--- a/crates/platformfaults/src/listener.rs
+++ b/crates/platformfaults/src/listener.rs
@@ -4,7 +4,7 @@
 use crate::journal::Side;
 use crate::platform::Faulty;
 use crate::stream::FaultyStream;
-use cometcroft_platform::{Listener, Platform, uninterrupted};
+use cometcroft_platform::{Listener, Platform, retry_interrupted};
 use std::cell::RefCell;
 use std::io;
 
@@ -46,6 +46,6 @@
     type Stream = FaultyStream<P>;
 
     async fn accept(&self) -> io::Result<FaultyStream<P>> {
-        uninterrupted(|| self.accept_once()).await
+        retry_interrupted(|| self.accept_once()).await
     }
 }
--- a/crates/platformfaults/src/load.rs
+++ b/crates/platformfaults/src/load.rs
@@ -175,7 +175,7 @@
         let effect = [Effect::Safe, Effect::Keyed, Effect::Unsafe][rng.usize(..3)];
         let budget = Duration::from_millis(rng.u64(500..1400));
         let mut sent = new(id, effect, budget, self.sidecar);
-        let kept = kept.filter(|kept| kept.inbox.is_empty() && kept.stream.quiet());
+        let kept = kept.filter(|kept| kept.inbox.is_empty() && kept.stream.is_idle());
         let connection = match kept {
             Some(kept) => Some(kept),
             None => self.connect().await,
--- a/crates/platformfaults/src/platform.rs
+++ b/crates/platformfaults/src/platform.rs
@@ -7,7 +7,7 @@
 use crate::listener::FaultyListener;
 use crate::plan::Plan;
 use crate::stream::FaultyStream;
-use cometcroft_platform::{Platform, uninterrupted};
+use cometcroft_platform::{Platform, retry_interrupted};
 use rustix::io::Errno;
 use std::future::Future;
 use std::io;
@@ -101,10 +101,10 @@
     }
 
     async fn connect(&self, to: SocketAddr) -> io::Result<FaultyStream<P>> {
-        uninterrupted(|| self.connect_once(self.inner.connect(to))).await
+        retry_interrupted(|| self.connect_once(self.inner.connect(to))).await
     }
 
     async fn connect_from(&self, from: IpAddr, to: SocketAddr) -> io::Result<FaultyStream<P>> {
-        uninterrupted(|| self.connect_once(self.inner.connect_from(from, to))).await
+        retry_interrupted(|| self.connect_once(self.inner.connect_from(from, to))).await
     }
 }
--- a/crates/platformfaults/src/stream.rs
+++ b/crates/platformfaults/src/stream.rs
@@ -4,7 +4,7 @@
 use crate::injected::Injected;
 use crate::journal::Side;
 use crate::platform::Faulty;
-use cometcroft_platform::{Platform, Resumed, Stream};
+use cometcroft_platform::{Platform, RetryingStream, Stream};
 use std::fmt;
 use std::io;
 use std::pin::Pin;
@@ -12,7 +12,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// A connection whose system calls fail by plan.
-pub struct FaultyStream<P: Platform>(Resumed<Injected<P>>);
+pub struct FaultyStream<P: Platform>(RetryingStream<Injected<P>>);
 
 impl<P: Platform> fmt::Debug for FaultyStream<P> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -37,12 +37,12 @@
         self.0.get_ref().set_nodelay()
     }
 
-    fn quiet(&self) -> bool {
-        self.0.get_ref().quiet()
+    fn is_idle(&self) -> bool {
+        self.0.get_ref().is_idle()
     }
 
-    fn ended(&self) -> bool {
-        self.0.get_ref().ended()
+    fn is_read_closed(&self) -> bool {
+        self.0.get_ref().is_read_closed()
     }
 }
 
--- a/crates/platformfaults/tests/injection.rs
+++ b/crates/platformfaults/tests/injection.rs
@@ -77,7 +77,7 @@
         platform.activate(false);
         assert_eq!(ours.read(&mut [0; 8]).await.expect("an end"), 0);
         assert_eq!(errno(&ours.write(b"x").await.expect_err("broken")), Some(Errno::PIPE));
-        assert!(!ours.quiet() && ours.ended());
+        assert!(!ours.is_idle() && ours.is_read_closed());
         let entries = platform.journal().entries();
         assert_eq!(entries.connections[0].broken.map(|(_, error)| Some(error)), Some(errno(&error)));
         assert_eq!(entries.connections[0].side, Side::Connected);
--- a/crates/script/src/file.rs
+++ b/crates/script/src/file.rs
@@ -388,7 +388,7 @@
         match SHIPPED.iter().chain(SIZED).find(|(shipped, _)| *shipped == name) {
             Some((_, text)) => Script::parse(text, name),
             None => {
-                let text = std::fs::read_to_string(Path::new(name)).map_err(|e| FileError::of(name, e))?;
+                let text = std::fs::read_to_string(Path::new(name)).map_err(|e| FileError::new(name, e))?;
                 Script::parse(&text, name)
             }
         }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -35,7 +35,7 @@
 
 impl Field {
     /// The value that a report calls by this name.
-    pub fn named(name: &str) -> Field {
+    pub fn from_name(name: &str) -> Field {
         match name {
             "inflight" => Field::Inflight,
             "queue" => Field::Queue,
@@ -175,7 +175,8 @@
     let rules = top.group("contract", "contract.")?;
     let prices = top.group("prices", "prices.")?;
     let report = top.group("report", "report.")?;
-    let fields = report.list("fields")?.iter().map(|field| Field::named(field.as_str().unwrap_or_default()));
+    let fields =
+        report.list("fields")?.iter().map(|field| Field::from_name(field.as_str().unwrap_or_default()));
     let tenant = |value| -> Result<Tenant, String> {
         let tenant = Group { value, place: "accounts." };
         Ok(Tenant { quota_per_s: tenant.number("quota-rps", None)? })
@@ -247,7 +248,7 @@
 
 /// What a sidecar on sockets needs of the settings beside what the module does.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Sockets {
+pub struct SocketSettings {
     /// The names of the classes, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
     /// The names of the tenants.
@@ -255,13 +256,13 @@
     /// The names of the zones.
     pub zones: Vec<String>,
     /// A connection that has stood idle for so long is closed by the other side.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// A connection that is not up after this time has failed.
     pub connect_timeout: Duration,
 }
 
 /// Reads what a sidecar on sockets needs of the settings.
-pub fn read_sockets(value: &Value) -> Result<Sockets, String> {
+pub fn read_socket_settings(value: &Value) -> Result<SocketSettings, String> {
     let top = Group { value, place: "" };
     let limits = top.group("policy-limits", "policy-limits.")?;
     let names = |values: &[Value], place| -> Result<Vec<String>, String> {
@@ -269,11 +270,11 @@
     };
     let accounts = if value.get("accounts").is_some() { top.list("accounts")? } else { &[] };
     let zone = |zone: &Value| zone.as_str().map(str::to_owned).ok_or("setting dcs is not a list of names");
-    Ok(Sockets {
+    Ok(SocketSettings {
         classes: names(top.list("request-classes")?, "request-classes.")?,
         tenants: names(accounts, "accounts.")?,
         zones: top.list("dcs")?.iter().map(zone).collect::<Result<_, _>>()?,
-        idle: limits.time("conn-idle-ns")?,
+        idle_timeout: limits.time("conn-idle-ns")?,
         connect_timeout: limits.time("dial-timeout-ns")?,
     })
 }
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,7 +1,7 @@
 //! What the sidecar is told at its start: the environment and the file that `LB_CONFIG` names.
 
 use cometcroft::Settings;
-use cometcroft_settings::{Field, Sockets, hash, read_settings, read_sockets};
+use cometcroft_settings::{Field, SocketSettings, hash, read_settings, read_socket_settings};
 use serde_json::Value;
 use std::fmt;
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
     /// The values that load reports hold.
     pub fields: Vec<Field>,
     /// What the sockets need of the settings.
-    pub net: Sockets,
+    pub net: SocketSettings,
     /// The whole file, without the list.
     pub text: Rc<Value>,
 }
@@ -126,7 +126,7 @@
         let memory = value.pointer("/limits/memory_mb").and_then(Value::as_u64).unwrap_or(192);
         let (name, listen) = (told("LB_NAME", "name")?, address("LB_LISTEN", "listen")?);
         let discovery = address("LB_DISCOVERY", "discovery")?;
-        let net = read_sockets(settings).map_err(|e| bad("settings", e))?;
+        let net = read_socket_settings(settings).map_err(|e| bad("settings", e))?;
         // Thousands of endpoints: held once, and only until they are taken over.
         let known = value.get_mut("known").map(Value::take).unwrap_or(Value::Null);
         Ok(Config {
--- a/crates/sidecar/src/discovery/call.rs
+++ b/crates/sidecar/src/discovery/call.rs
@@ -155,7 +155,7 @@
 ) -> io::Result<P::Stream> {
     // A call on a connection that was closed after the last answer would count as one that failed. Only that is mended
     // here: to repeat a call that discovery has seen would double its load when it has most.
-    let mut stream = match kept.filter(Stream::quiet) {
+    let mut stream = match kept.filter(Stream::is_idle) {
         Some(stream) => stream,
         None => platform.timeout(CONNECT, platform.connect(question.address)).await??,
     };
--- a/crates/sidecar/src/discovery_connections.rs
+++ b/crates/sidecar/src/discovery_connections.rs
@@ -13,7 +13,7 @@
 
 impl<S: Stream> Unread for RefCell<S> {
     fn has_unread(&self) -> bool {
-        self.try_borrow().is_ok_and(|stream| !stream.quiet())
+        self.try_borrow().is_ok_and(|stream| !stream.is_idle())
     }
 }
 
--- a/crates/sidecar/src/force.rs
+++ b/crates/sidecar/src/force.rs
@@ -9,7 +9,7 @@
 use crate::pool::ConnectionPool;
 use crate::requests::RequestDriver;
 use cometcroft::{Event, ListScope, Settings};
-use cometcroft_settings::{Field, Sockets};
+use cometcroft_settings::{Field, SocketSettings};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -23,7 +23,7 @@
     pub fields: Rc<RefCell<Rc<[Field]>>>,
     pub fleet: Option<Rc<Fleet<C::Platform>>>,
     /// What the file says, but for what is the fleet's to tell; kept where there is a fleet.
-    pub said: RefCell<Option<(Settings, Sockets)>>,
+    pub said: RefCell<Option<(Settings, SocketSettings)>>,
 }
 
 impl<C: HttpTransport> Force<C> {
@@ -32,7 +32,7 @@
         self.life.tell(|machine, _| machine.longest(config.longest_deadline()));
         let Config { settings, net, fields, .. } = config;
         self.endpoints.set_zones(net.zones.clone());
-        self.pool.apply_settings(net.idle, net.connect_timeout);
+        self.pool.apply_settings(net.idle_timeout, net.connect_timeout);
         self.fields.replace(fields.into());
         match &self.fleet {
             None => self.frontend.apply_settings(settings, &net.classes, net.tenants),
--- a/crates/sidecar/src/frontend/connection.rs
+++ b/crates/sidecar/src/frontend/connection.rs
@@ -60,7 +60,7 @@
                         Read::Closed => return Ok(()),
                         // A request lies there unread: it is served first. Danger: the runtime may not have heard of it yet,
                         // and does not before this task waits.
-                        Read::ShuttingDown | Read::Evicted if !stream.quiet() => {
+                        Read::ShuttingDown | Read::Evicted if !stream.is_idle() => {
                             self.platform.sleep(BETWEEN_READS).await;
                         }
                         // Danger: a request may come in this moment. It is not read as one any more, but a close over
--- a/crates/sidecar/src/frontend/request.rs
+++ b/crates/sidecar/src/frontend/request.rs
@@ -225,7 +225,7 @@
 
     /// Waits until a client has left whose bytes are not read now: nothing may begin for it any more.
     async fn leaves_unread(&self, stream: &StreamOf<T>) {
-        while !stream.ended() {
+        while !stream.is_read_closed() {
             self.platform.sleep(BETWEEN_LOOKS).await;
         }
     }
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -168,7 +168,7 @@
         }
     };
     // Before anything else opens descriptors.
-    let inherited = match config.socket.map(cometcroft_inherit::listener).transpose() {
+    let inherited = match config.socket.map(cometcroft_inherit::take_listener).transpose() {
         Ok(inherited) => inherited,
         Err(refused) => {
             eprintln!("cometcroft: configuration: LB_SOCKET_FD: {refused}");
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -210,7 +210,7 @@
     /// Reads the file.
     pub fn load(path: &Path) -> Result<Operator, FileError> {
         let file = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| FileError::of(&file, e))?;
+        let text = std::fs::read_to_string(path).map_err(|e| FileError::new(&file, e))?;
         Operator::parse(&text, &file)
     }
 
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -148,7 +148,7 @@
             |kept: &Vec<Idle<P::Stream>>| kept.iter().rposition(|c| self.platform.since(c.since) >= SETTLE);
         while let Some(at) = settled(kept) {
             let stream = kept.remove(at).stream;
-            if stream.quiet() {
+            if stream.is_idle() {
                 return Some(stream);
             }
             count(&self.counters.backend_stale);
--- a/crates/sidecar/src/probe.rs
+++ b/crates/sidecar/src/probe.rs
@@ -51,7 +51,7 @@
     let value: Value = serde_json::from_slice(text).ok()?;
     let mut report = LoadReport::default();
     for (name, figure) in value.as_object()? {
-        let field = Field::named(name);
+        let field = Field::from_name(name);
         if !fields.contains(&field) {
             continue;
         }
--- a/crates/sidecar/tests/common/story.rs
+++ b/crates/sidecar/tests/common/story.rs
@@ -2,7 +2,7 @@
 //! itself, step by step.
 
 use super::program::no_news;
-use cometcroft_platform::{Listener, Local, Platform, Resumed, Stream, Tokio};
+use cometcroft_platform::{Listener, LocalTask, Platform, RetryingStream, Stream, Tokio};
 use cometcroft_sidecar::Parts;
 use cometcroft_sidecar::config::Config;
 use cometcroft_sidecar::counters::Counters;
@@ -56,7 +56,7 @@
 
 /// A connection that must send small writes at once: what the system holds back goes with a reset.
 #[derive(Debug)]
-pub struct Prompt(Resumed<TcpStream>, Cell<bool>);
+pub struct Prompt(RetryingStream<TcpStream>, Cell<bool>);
 
 impl Stream for Prompt {
     fn set_nodelay(&self) -> io::Result<()> {
@@ -64,12 +64,12 @@
         Stream::set_nodelay(&self.0)
     }
 
-    fn quiet(&self) -> bool {
-        self.0.quiet()
+    fn is_idle(&self) -> bool {
+        self.0.is_idle()
     }
 
-    fn ended(&self) -> bool {
-        self.0.ended()
+    fn is_read_closed(&self) -> bool {
+        self.0.is_read_closed()
     }
 }
 
@@ -116,7 +116,7 @@
     type Stream = Prompt;
     type Listener = Listening;
     type Datagrams = UdpSocket;
-    type Task = Local;
+    type Task = LocalTask;
 
     fn now(&self) -> Instant {
         Tokio.now()
@@ -130,7 +130,7 @@
         Tokio.sleep_until(at)
     }
 
-    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Local {
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> LocalTask {
         Tokio.spawn(task)
     }
 
--- a/crates/sim/src/codec.rs
+++ b/crates/sim/src/codec.rs
@@ -7,7 +7,7 @@
 
 /// An entry of a list, its upstream still a word.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Item {
+pub struct ListItem {
     pub word: String,
     pub key: u64,
     pub cell: CellId,
@@ -19,7 +19,7 @@
 
 /// One line of a batch.
 #[derive(Debug, PartialEq)]
-pub enum Line<'a> {
+pub enum Message<'a> {
     Mark {
         now: Time,
         batch: &'a str,
@@ -138,12 +138,12 @@
 }
 
 /// Reads one line of a batch.
-pub fn parse(line: &str) -> Result<Line<'_>, String> {
+pub fn parse(line: &str) -> Result<Message<'_>, String> {
     let mut p = Parts { rest: Some(line) };
     let line = match p.word("message")? {
-        "MARK" => Line::Mark { now: p.time("clock")?, batch: p.word("batch number")? },
-        "EOF_BATCH" => Line::End,
-        "FOR" => Line::For(p.number("who")?),
+        "MARK" => Message::Mark { now: p.time("clock")?, batch: p.word("batch number")? },
+        "EOF_BATCH" => Message::End,
+        "FOR" => Message::For(p.number("who")?),
         "BEGIN" => {
             let seed = p.word("rng-seed")?;
             let seed = match seed.parse::<u64>() {
@@ -152,10 +152,10 @@
                     seed.parse::<i64>().map_err(|_| format!("rng-seed is not a number: {seed:?}"))? as u64
                 }
             };
-            return Ok(Line::Begin { seed, conf: p.rest.ok_or("conf is missing")? });
+            return Ok(Message::Begin { seed, conf: p.rest.ok_or("conf is missing")? });
         }
-        "EXIT" => Line::Exit,
-        "CATALOG" => Line::Catalog { set: p.number("set-id")?, rows: p.number("rows")? },
+        "EXIT" => Message::Exit,
+        "CATALOG" => Message::Catalog { set: p.number("set-id")?, rows: p.number("rows")? },
         "FLEET" => {
             let scope = match p.word("scope")? {
                 "changes" => Some(ListScope::Changes),
@@ -165,7 +165,7 @@
                 word => return Err(format!("unknown scope {word:?}")),
             };
             let _version: Option<i64> = p.optional("seq-no")?;
-            Line::Fleet { scope, set: p.optional("set-id")? }
+            Message::Fleet { scope, set: p.optional("set-id")? }
         }
         "ASK" => {
             let (rid, class) = (p.word("rid")?, p.number("kind")?);
@@ -175,15 +175,15 @@
             let hint: Option<u64> = p.optional("size-hint-ns")?;
             let opts: u32 = p.optional("opts")?.unwrap_or(0);
             let hint = hint.filter(|_| opts & 1 != 0).map(Duration::from_nanos);
-            Line::Ask { rid, class, tenant, left, hint, repeat: opts & 2 != 0 }
+            Message::Ask { rid, class, tenant, left, hint, repeat: opts & 2 != 0 }
         }
         "FIRST_BYTE" => {
             let (rid, attempt) = (p.word("rid")?, p.number("send-no")?);
             p.word("upstream")?;
             p.time("latency-ns")?;
-            Line::FirstByte { rid, attempt }
+            Message::FirstByte { rid, attempt }
         }
-        "RETURNED" => Line::Returned(Returned {
+        "RETURNED" => Message::Returned(Returned {
             rid: p.word("rid")?,
             closed: p.flag("last")?,
             outcome: p.outcome()?,
@@ -192,14 +192,14 @@
             endpoint: p.word("upstream")?,
             load: p.word("health-info")?,
         }),
-        "WITHDRAWN" => Line::Withdrawn(p.word("rid")?),
-        "ELAPSED" => Line::Elapsed(p.word("ctx")?),
+        "WITHDRAWN" => Message::Withdrawn(p.word("rid")?),
+        "ELAPSED" => Message::Elapsed(p.word("ctx")?),
         "PONG" => {
             let (endpoint, outcome) = (p.word("upstream")?, p.outcome()?);
             let latency = p.time("latency-ns")?;
-            Line::Pong { endpoint, outcome, latency, load: p.word("health-info")? }
+            Message::Pong { endpoint, outcome, latency, load: p.word("health-info")? }
         }
-        "MEMO" => return Ok(Line::Memo),
+        "MEMO" => return Ok(Message::Memo),
         word => return Err(format!("unknown message {word:?}")),
     };
     p.end()?;
@@ -207,7 +207,7 @@
 }
 
 /// Reads an entry of a list.
-pub fn parse_item(line: &str) -> Result<Item, String> {
+pub fn parse_item(line: &str) -> Result<ListItem, String> {
     let mut p = Parts { rest: Some(line) };
     if p.word("message")? != "ITEM" {
         return Err("a list entry was expected".into());
@@ -226,7 +226,7 @@
     let weight = p.optional("weight")?.unwrap_or(1.0);
     p.end()?;
     let started = since.filter(|&ns| ns > 0).map(Duration::from_nanos);
-    Ok(Item { key: hash(&word), word, cell, zone, started, state, weight })
+    Ok(ListItem { key: hash(&word), word, cell, zone, started, state, weight })
 }
 
 /// Reads a load report, its values in the order of `fields`.
--- a/crates/sim/src/host.rs
+++ b/crates/sim/src/host.rs
@@ -1,6 +1,6 @@
 //! Hosts the instances: each has its own balancer, its own interned ids and its own reply.
 
-use crate::codec::{self, Field, Item, Line};
+use crate::codec::{self, Field, ListItem, Message};
 use cometcroft::*;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -9,12 +9,12 @@
 
 /// Why the process ends: the line and what was wrong with it.
 #[derive(Debug)]
-pub struct Fault {
+pub struct ProtocolError {
     pub line: u64,
     pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ProtocolError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "line {}: {}", self.line, self.message)
     }
@@ -146,7 +146,7 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Instance>,
-    lists: BTreeMap<usize, Vec<Item>>,
+    lists: BTreeMap<usize, Vec<ListItem>>,
     filling: Option<(usize, usize)>,
     current: Option<u32>,
     now: Time,
@@ -158,26 +158,26 @@
         self.instances.get_mut(&who).ok_or_else(|| format!("instance {who} has not begun"))
     }
 
-    fn line(&mut self, line: Line<'_>) -> Result<(), String> {
+    fn line(&mut self, line: Message<'_>) -> Result<(), String> {
         let now = self.now;
         match line {
-            Line::Mark { .. } | Line::End => unreachable!("taken by run"),
-            Line::For(who) => self.current = Some(who),
-            Line::Begin { seed, conf } => {
+            Message::Mark { .. } | Message::End => unreachable!("taken by run"),
+            Message::For(who) => self.current = Some(who),
+            Message::Begin { seed, conf } => {
                 let who = self.current.ok_or("no instance is named")?;
                 let mut instance = Instance::new(seed, conf)?;
                 instance.handle(now, Event::Start);
                 self.instances.insert(who, instance);
             }
-            Line::Exit => {
+            Message::Exit => {
                 self.instances.remove(&self.current.ok_or("no instance is named")?);
             }
-            Line::Catalog { set, rows } => {
+            Message::Catalog { set, rows } => {
                 self.lists.insert(set, Vec::with_capacity(rows.min(4096)));
                 self.filling = Some((set, rows)).filter(|_| rows > 0);
             }
-            Line::Fleet { scope, set } => self.fleet(scope, set)?,
-            Line::Ask { rid, class, tenant, left, hint, repeat } => {
+            Message::Fleet { scope, set } => self.fleet(scope, set)?,
+            Message::Ask { rid, class, tenant, left, hint, repeat } => {
                 let instance = self.instance()?;
                 let request = instance.request(rid, true);
                 let (class, tenant) = (ClassId(class), tenant.map(TenantId));
@@ -193,12 +193,12 @@
                     },
                 );
             }
-            Line::FirstByte { rid, attempt } => {
+            Message::FirstByte { rid, attempt } => {
                 let instance = self.instance()?;
                 let request = instance.request(rid, false);
                 instance.handle(now, Event::FirstByte { request, attempt });
             }
-            Line::Returned(r) => {
+            Message::Returned(r) => {
                 let instance = self.instance()?;
                 let request = instance.request(r.rid, false);
                 let endpoint = instance.endpoint(r.endpoint);
@@ -209,23 +209,23 @@
                 instance.handle(now, event);
                 instance.finish(request, true, closed);
             }
-            Line::Withdrawn(rid) => {
+            Message::Withdrawn(rid) => {
                 let instance = self.instance()?;
                 let request = instance.request(rid, false);
                 instance.handle(now, Event::ClientDisconnected(request));
                 instance.finish(request, false, true);
             }
-            Line::Elapsed(ctx) => {
+            Message::Elapsed(ctx) => {
                 let timer = codec::parse_timer(ctx)?;
                 self.instance()?.handle(now, Event::Timer(timer));
             }
-            Line::Pong { endpoint, outcome, latency, load } => {
+            Message::Pong { endpoint, outcome, latency, load } => {
                 let instance = self.instance()?;
                 let endpoint = instance.endpoint(endpoint);
                 let report = codec::parse_report(load, &instance.fields)?;
                 instance.handle(now, Event::Probed { endpoint, outcome, latency, report });
             }
-            Line::Memo => {
+            Message::Memo => {
                 self.instance()?;
             }
         }
@@ -244,7 +244,7 @@
         let mut entries = Vec::with_capacity(items.len());
         for item in &items {
             let endpoint = instance.endpoint(&item.word);
-            let Item { cell, zone, started, state, weight, .. } = *item;
+            let ListItem { cell, zone, started, state, weight, .. } = *item;
             entries.push(EndpointEntry { endpoint, key: item.key, cell, zone, started, state, weight });
         }
         instance.handle(now, Event::EndpointList { scope, entries });
@@ -266,14 +266,14 @@
 }
 
 /// Serves batches until the input ends; an end within a batch is a fault.
-pub fn run(mut input: impl BufRead, output: impl Write) -> Result<(), Fault> {
+pub fn run(mut input: impl BufRead, output: impl Write) -> Result<(), ProtocolError> {
     let mut output = std::io::BufWriter::with_capacity(1 << 16, output);
     let mut host = Host::default();
     let mut batch: Option<String> = None;
     let mut text = String::new();
     let mut number = 0;
     loop {
-        let fault = |message: String| Fault { line: number + 1, message };
+        let fault = |message: String| ProtocolError { line: number + 1, message };
         text.clear();
         if input.read_line(&mut text).map_err(|e| fault(format!("cannot be read: {e}")))? == 0 {
             return match batch {
@@ -282,7 +282,7 @@
             };
         }
         number += 1;
-        let fault = |message: String| Fault { line: number, message };
+        let fault = |message: String| ProtocolError { line: number, message };
         let Some(line) = text.strip_suffix('\n') else { return Err(fault("the line is cut off".into())) };
         if batch.is_some()
             && let Some((set, rows)) = host.filling
@@ -296,14 +296,14 @@
             continue;
         }
         match (codec::parse(line).map_err(fault)?, &batch) {
-            (Line::Mark { now, batch: id }, None) => {
+            (Message::Mark { now, batch: id }, None) => {
                 host.now = now;
                 host.current = None;
                 batch = Some(id.to_owned());
             }
-            (Line::Mark { .. }, Some(_)) => return Err(fault("a batch begins within a batch".into())),
+            (Message::Mark { .. }, Some(_)) => return Err(fault("a batch begins within a batch".into())),
             (_, None) => return Err(fault("a batch must begin with MARK".into())),
-            (Line::End, Some(id)) => {
+            (Message::End, Some(id)) => {
                 host.reply(id, &mut output)
                     .map_err(|e| fault(format!("the reply cannot be written: {e}")))?;
                 batch = None;
--- a/crates/tomlfile/src/lib.rs
+++ b/crates/tomlfile/src/lib.rs
@@ -143,12 +143,12 @@
 impl FileError {
     /// An error at a field of a file.
     pub fn at(file: &str, text: &str, byte: usize, field: &str, reason: &str) -> FileError {
-        let (line, column) = place(text, byte);
+        let (line, column) = line_and_column(text, byte);
         FileError(format!("{file}:{line}:{column}: {field}: {reason}"))
     }
 
     /// An error that has no place.
-    pub fn of(file: &str, reason: impl fmt::Display) -> FileError {
+    pub fn new(file: &str, reason: impl fmt::Display) -> FileError {
         FileError(format!("{file}: {reason}"))
     }
 }
@@ -168,8 +168,8 @@
         let reason =
             nearest(&reason).map_or(reason.clone(), |near| format!("{reason}; did you mean {near:?}?"));
         match error.span() {
-            Some(span) => FileError::at(file, text, span.start, &key(text, span.start), &reason),
-            None => FileError::of(file, reason),
+            Some(span) => FileError::at(file, text, span.start, &key_at(text, span.start), &reason),
+            None => FileError::new(file, reason),
         }
     })
 }
@@ -184,7 +184,7 @@
 }
 
 /// Line and column of a byte of a text, counted from 1.
-pub fn place(text: &str, byte: usize) -> (usize, usize) {
+pub fn line_and_column(text: &str, byte: usize) -> (usize, usize) {
     let before = &text.as_bytes()[..byte.min(text.len())];
     let line = before.iter().filter(|&&b| b == b'\n').count() + 1;
     let column = before.iter().rev().take_while(|&&b| b != b'\n').count() + 1;
@@ -192,7 +192,7 @@
 }
 
 /// The key on the line that a byte lies on, or the header of its table.
-pub fn key(text: &str, byte: usize) -> String {
+pub fn key_at(text: &str, byte: usize) -> String {
     let byte = byte.min(text.len());
     let mut start = byte;
     while start > 0 && text.as_bytes()[start - 1] != b'\n' {
