--- a/crates/sidecar/src/active_settings.rs
+++ b/crates/sidecar/src/active_settings.rs
@@ -9,7 +9,7 @@
 use crate::pool::ConnectionPool;
 use crate::requests::RequestDriver;
 use cometcroft::{Event, ListScope, Settings};
-use cometcroft_settings::{Field, Sockets};
+use cometcroft_settings::{Field, SocketSettings};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -23,7 +23,7 @@
     pub fields: Rc<RefCell<Rc<[Field]>>>,
     pub fleet: Option<Rc<Fleet<C::Platform>>>,
     /// What the file says, but for what is the fleet's to tell; kept where there is a fleet.
-    pub file_settings: RefCell<Option<(Settings, Sockets)>>,
+    pub file_settings: RefCell<Option<(Settings, SocketSettings)>>,
 }
 
 impl<C: HttpTransport> ActiveSettings<C> {
@@ -32,7 +32,7 @@
         self.lifecycle.update(|state, _| state.set_max_deadline(config.max_deadline()));
         let Config { settings, network: net, load_report_fields: fields, .. } = config;
         self.endpoints.set_zones(net.zones.clone());
-        self.pool.apply_settings(net.idle, net.connect_timeout);
+        self.pool.apply_settings(net.idle_timeout, net.connect_timeout);
         self.fields.replace(fields.into());
         match &self.fleet {
             None => self.frontend.apply_settings(settings, &net.classes, net.tenants),
