--- a/crates/sim/src/codec.rs
+++ b/crates/sim/src/codec.rs
@@ -1,14 +1,15 @@
-//! The words of the wire: parsing of event lines and of settings, writing of action lines.
+//! The simulator's line protocol: parses messages, list items, load reports and timer contexts.
 
 use cometcroft::*;
 
 pub use cometcroft_settings::{Field, hash, parse_settings};
 use std::time::Duration;
 
-/// An entry of a list, its upstream still a word.
+/// An entry of an endpoint list (`ITEM`). The endpoint has a name, but no id yet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListItem {
-    pub word: String,
+    pub name: String,
+    /// Hash of the name.
     pub key: u64,
     pub cell: CellId,
     pub zone: ZoneId,
@@ -17,106 +18,104 @@
     pub weight: f64,
 }
 
-/// One line of a batch.
+/// A message, which is one line of a batch. Each variant has the name of its message in the protocol.
 #[derive(Debug, PartialEq)]
 pub enum Message<'a> {
-    Mark {
-        now: Time,
-        batch: &'a str,
-    },
+    /// Start of a batch.
+    Mark { now: Time, batch: &'a str },
+    /// End of a batch (`EOF_BATCH`).
     End,
+    /// The instance that the following messages are for.
     For(u32),
-    Begin {
-        seed: u64,
-        conf: &'a str,
-    },
+    /// Start of an instance.
+    Begin { seed: u64, conf: &'a str },
+    /// End of an instance.
     Exit,
-    Catalog {
-        set: usize,
-        rows: usize,
-    },
-    Fleet {
-        scope: Option<ListScope>,
-        set: Option<usize>,
-    },
+    /// Start of an endpoint list; its items follow, one a line.
+    Catalog { list_id: usize, item_count: usize },
+    /// Delivery of an endpoint list to an instance; without a scope, its call to discovery failed.
+    Fleet { scope: Option<ListScope>, list_id: Option<usize> },
+    /// A request of a client.
     Ask {
-        rid: &'a str,
+        request: &'a str,
         class: usize,
         tenant: Option<usize>,
-        left: Duration,
-        hint: Option<Duration>,
-        repeat: bool,
-    },
-    FirstByte {
-        rid: &'a str,
-        attempt: u32,
+        time_left: Duration,
+        work_hint: Option<Duration>,
+        client_retry: bool,
     },
+    /// A streamed response has started.
+    FirstByte { request: &'a str, attempt: u32 },
+    /// An attempt has ended.
     Returned(Returned<'a>),
+    /// The client of this request has disconnected.
     Withdrawn(&'a str),
+    /// The timer with this context has expired.
     Elapsed(&'a str),
-    Pong {
-        endpoint: &'a str,
-        outcome: Outcome,
-        latency: Duration,
-        load: &'a str,
-    },
+    /// A probe has ended.
+    Pong { endpoint: &'a str, outcome: Outcome, latency: Duration, report: &'a str },
+    /// Free text, which is ignored.
     Memo,
 }
 
-/// The values of an outcome line.
+/// The fields of a `RETURNED` message.
 #[derive(Debug, PartialEq)]
 pub struct Returned<'a> {
-    pub rid: &'a str,
-    pub closed: bool,
+    pub request: &'a str,
+    /// The request has got its final response.
+    pub finished: bool,
     pub outcome: Outcome,
     pub attempt: u32,
     pub latency: Duration,
     pub endpoint: &'a str,
-    pub load: &'a str,
+    pub report: &'a str,
 }
 
-/// The parts of a line, taken one by one.
-struct Parts<'a> {
+/// The tokens of a line, which are separated by single spaces and parsed in order.
+struct Tokens<'a> {
     rest: Option<&'a str>,
 }
 
-impl<'a> Parts<'a> {
-    fn word(&mut self, name: &str) -> Result<&'a str, String> {
+impl<'a> Tokens<'a> {
+    fn token(&mut self, name: &str) -> Result<&'a str, String> {
         let rest = self.rest.ok_or_else(|| format!("{name} is missing"))?;
-        let (word, rest) = match rest.split_once(' ') {
-            Some((word, rest)) => (word, Some(rest)),
+        let (token, rest) = match rest.split_once(' ') {
+            Some((token, rest)) => (token, Some(rest)),
             None => (rest, None),
         };
         self.rest = rest;
-        if word.is_empty() { Err(format!("{name} is empty")) } else { Ok(word) }
+        if token.is_empty() { Err(format!("{name} is empty")) } else { Ok(token) }
     }
 
     fn number<T: std::str::FromStr>(&mut self, name: &str) -> Result<T, String> {
-        let word = self.word(name)?;
-        word.parse().map_err(|_| format!("{name} is not a number in range: {word:?}"))
+        let token = self.token(name)?;
+        token.parse().map_err(|_| format!("{name} is not a number in range: {token:?}"))
     }
 
-    fn optional<T: std::str::FromStr>(&mut self, name: &str) -> Result<Option<T>, String> {
-        match self.word(name)? {
+    /// A number, or `-` for none.
+    fn optional_number<T: std::str::FromStr>(&mut self, name: &str) -> Result<Option<T>, String> {
+        match self.token(name)? {
             "-" => Ok(None),
-            word => word.parse().map(Some).map_err(|_| format!("{name} is not a number in range: {word:?}")),
+            token => {
+                token.parse().map(Some).map_err(|_| format!("{name} is not a number in range: {token:?}"))
+            }
         }
     }
 
-    fn time(&mut self, name: &str) -> Result<Duration, String> {
+    fn duration(&mut self, name: &str) -> Result<Duration, String> {
         Ok(Duration::from_nanos(self.number(name)?))
     }
 
     fn flag(&mut self, name: &str) -> Result<bool, String> {
-        match self.word(name)? {
+        match self.token(name)? {
             "0" => Ok(false),
             "1" => Ok(true),
-            word => Err(format!("{name} is neither 0 nor 1: {word:?}")),
+            token => Err(format!("{name} is neither 0 nor 1: {token:?}")),
         }
     }
 
     fn outcome(&mut self) -> Result<Outcome, String> {
-        Ok(match self.word("result")? {
+        Ok(match self.token("result")? {
             "0" => Outcome::Ok,
             "13" => Outcome::Error,
             "8" => Outcome::Rejected,
@@ -125,10 +124,11 @@
             "10" => Outcome::Reset,
             "1" => Outcome::Cancelled,
             "9" => Outcome::NotSent,
-            word => return Err(format!("unknown result {word:?}")),
+            token => return Err(format!("unknown result {token:?}")),
         })
     }
 
+    /// An error if any token is left.
     fn end(self) -> Result<(), String> {
         match self.rest {
             None => Ok(()),
@@ -137,15 +137,16 @@
     }
 }
 
-/// Reads one line of a batch.
+/// Parses a message.
 pub fn parse(line: &str) -> Result<Message<'_>, String> {
-    let mut p = Parts { rest: Some(line) };
-    let line = match p.word("message")? {
-        "MARK" => Message::Mark { now: p.time("clock")?, batch: p.word("batch number")? },
+    let mut p = Tokens { rest: Some(line) };
+    let message = match p.token("message")? {
+        "MARK" => Message::Mark { now: p.duration("clock")?, batch: p.token("batch number")? },
         "EOF_BATCH" => Message::End,
         "FOR" => Message::For(p.number("who")?),
         "BEGIN" => {
-            let seed = p.word("rng-seed")?;
+            let seed = p.token("rng-seed")?;
+            // The seed is written as an unsigned or a signed number of 64 bits.
             let seed = match seed.parse::<u64>() {
                 Ok(seed) => seed,
                 Err(_) => {
@@ -155,98 +156,99 @@
             return Ok(Message::Begin { seed, conf: p.rest.ok_or("conf is missing")? });
         }
         "EXIT" => Message::Exit,
-        "CATALOG" => Message::Catalog { set: p.number("set-id")?, rows: p.number("rows")? },
+        "CATALOG" => Message::Catalog { list_id: p.number("set-id")?, item_count: p.number("rows")? },
         "FLEET" => {
-            let scope = match p.word("scope")? {
+            let scope = match p.token("scope")? {
                 "changes" => Some(ListScope::Changes),
                 "all" => Some(ListScope::Complete),
                 "remembered" => Some(ListScope::Restored),
                 "refused" => None,
-                word => return Err(format!("unknown scope {word:?}")),
+                token => return Err(format!("unknown scope {token:?}")),
             };
-            let _version: Option<i64> = p.optional("seq-no")?;
-            Message::Fleet { scope, set: p.optional("set-id")? }
+            let _version: Option<i64> = p.optional_number("seq-no")?;
+            Message::Fleet { scope, list_id: p.optional_number("set-id")? }
         }
         "ASK" => {
-            let (rid, class) = (p.word("rid")?, p.number("kind")?);
-            let tenant = p.optional("user-group")?;
-            let _key = p.word("partition-key")?;
-            let left = p.time("left-ns")?;
-            let hint: Option<u64> = p.optional("size-hint-ns")?;
-            let opts: u32 = p.optional("opts")?.unwrap_or(0);
-            let hint = hint.filter(|_| opts & 1 != 0).map(Duration::from_nanos);
-            Message::Ask { rid, class, tenant, left, hint, repeat: opts & 2 != 0 }
+            let (request, class) = (p.token("rid")?, p.number("kind")?);
+            let tenant = p.optional_number("user-group")?;
+            let _key = p.token("partition-key")?;
+            let time_left = p.duration("left-ns")?;
+            let work_hint: Option<u64> = p.optional_number("size-hint-ns")?;
+            // Bit 0: the work hint is to be used. Bit 1: the client marked the request as a retry of its own.
+            let opts: u32 = p.optional_number("opts")?.unwrap_or(0);
+            let work_hint = work_hint.filter(|_| opts & 1 != 0).map(Duration::from_nanos);
+            Message::Ask { request, class, tenant, time_left, work_hint, client_retry: opts & 2 != 0 }
         }
         "FIRST_BYTE" => {
-            let (rid, attempt) = (p.word("rid")?, p.number("send-no")?);
-            p.word("upstream")?;
-            p.time("latency-ns")?;
-            Message::FirstByte { rid, attempt }
+            let (request, attempt) = (p.token("rid")?, p.number("send-no")?);
+            p.token("upstream")?;
+            p.duration("latency-ns")?;
+            Message::FirstByte { request, attempt }
         }
         "RETURNED" => Message::Returned(Returned {
-            rid: p.word("rid")?,
-            closed: p.flag("last")?,
+            request: p.token("rid")?,
+            finished: p.flag("last")?,
             outcome: p.outcome()?,
             attempt: p.number("send-no")?,
-            latency: p.time("latency-ns")?,
-            endpoint: p.word("upstream")?,
-            load: p.word("health-info")?,
+            latency: p.duration("latency-ns")?,
+            endpoint: p.token("upstream")?,
+            report: p.token("health-info")?,
         }),
-        "WITHDRAWN" => Message::Withdrawn(p.word("rid")?),
-        "ELAPSED" => Message::Elapsed(p.word("ctx")?),
+        "WITHDRAWN" => Message::Withdrawn(p.token("rid")?),
+        "ELAPSED" => Message::Elapsed(p.token("ctx")?),
         "PONG" => {
-            let (endpoint, outcome) = (p.word("upstream")?, p.outcome()?);
-            let latency = p.time("latency-ns")?;
-            Message::Pong { endpoint, outcome, latency, load: p.word("health-info")? }
+            let (endpoint, outcome) = (p.token("upstream")?, p.outcome()?);
+            let latency = p.duration("latency-ns")?;
+            Message::Pong { endpoint, outcome, latency, report: p.token("health-info")? }
         }
         "MEMO" => return Ok(Message::Memo),
-        word => return Err(format!("unknown message {word:?}")),
+        token => return Err(format!("unknown message {token:?}")),
     };
     p.end()?;
-    Ok(line)
+    Ok(message)
 }
 
-/// Reads an entry of a list.
+/// Parses an entry of an endpoint list.
 pub fn parse_item(line: &str) -> Result<ListItem, String> {
-    let mut p = Parts { rest: Some(line) };
-    if p.word("message")? != "ITEM" {
+    let mut p = Tokens { rest: Some(line) };
+    if p.token("message")? != "ITEM" {
         return Err("a list entry was expected".into());
     }
     let cell = CellId(p.number("pod")?);
     let zone = ZoneId(p.number("area")?);
-    let _kind: Option<usize> = p.optional("type")?;
-    let since: Option<u64> = p.optional("since-ns")?;
-    let word = p.word("upstream")?.to_owned();
-    let state = match p.word("condition")? {
+    let _kind: Option<usize> = p.optional_number("type")?;
+    let started: Option<u64> = p.optional_number("since-ns")?;
+    let name = p.token("upstream")?.to_owned();
+    let state = match p.token("condition")? {
         "ready" => EndpointState::Ready,
         "draining" => EndpointState::Draining,
         "gone" => EndpointState::Removed,
-        word => return Err(format!("unknown condition {word:?}")),
+        token => return Err(format!("unknown condition {token:?}")),
     };
-    let weight = p.optional("weight")?.unwrap_or(1.0);
+    let weight = p.optional_number("weight")?.unwrap_or(1.0);
     p.end()?;
-    let started = since.filter(|&ns| ns > 0).map(Duration::from_nanos);
-    Ok(ListItem { key: hash(&word), word, cell, zone, started, state, weight })
+    let started = started.filter(|&ns| ns > 0).map(Duration::from_nanos);
+    Ok(ListItem { key: hash(&name), name, cell, zone, started, state, weight })
 }
 
-/// Reads a load report, its values in the order of `fields`.
-pub fn parse_report(word: &str, fields: &[Field]) -> Result<Option<LoadReport>, String> {
-    if word == "-" {
+/// Parses a load report, whose values are in the order of `fields`; `-` stands for an absent report or value.
+pub fn parse_report(text: &str, fields: &[Field]) -> Result<Option<LoadReport>, String> {
+    if text == "-" {
         return Ok(None);
     }
     let mut report = LoadReport::default();
-    for (value, field) in word.split(',').zip(fields) {
+    for (value, field) in text.split(',').zip(fields) {
         if value == "-" {
             continue;
         }
-        let value: f64 = value.parse().map_err(|_| format!("health-info is not numbers: {word:?}"))?;
+        let value: f64 = value.parse().map_err(|_| format!("health-info is not numbers: {text:?}"))?;
         field.set(&mut report, value);
     }
     Ok(Some(report))
 }
 
-/// Writes a timer's token.
-pub fn write_timer(timer: Timer) -> String {
+/// Formats the context of a timer, which `SET_TIMER` passes to the simulator and `ELAPSED` returns.
+pub fn format_timer(timer: Timer) -> String {
     match timer {
         Timer::Refresh => "refresh".into(),
         Timer::Subscribe => "subscribe".into(),
@@ -254,14 +256,14 @@
     }
 }
 
-/// Reads a timer's token.
-pub fn parse_timer(word: &str) -> Result<Timer, String> {
-    match word {
+/// Parses the context of a timer.
+pub fn parse_timer(context: &str) -> Result<Timer, String> {
+    match context {
         "refresh" => Ok(Timer::Refresh),
         "subscribe" => Ok(Timer::Subscribe),
-        _ => match word.strip_prefix("request-").and_then(|id| id.parse().ok()) {
+        _ => match context.strip_prefix("request-").and_then(|id| id.parse().ok()) {
             Some(id) => Ok(Timer::SlowRequest(RequestId(id))),
-            None => Err(format!("unknown timer {word:?}")),
+            None => Err(format!("unknown timer {context:?}")),
         },
     }
 }
--- a/crates/sim/src/host.rs
+++ b/crates/sim/src/host.rs
@@ -1,4 +1,5 @@
-//! Hosts the instances: each has its own balancer, its own interned ids and its own reply.
+//! Runs the instances of the decision module. Each has its own balancer, its own table of ids and its own part of the
+//! reply.
 
 use crate::codec::{self, Field, ListItem, Message};
 use cometcroft::*;
@@ -7,7 +8,7 @@
 use std::io::{BufRead, Write};
 use std::rc::Rc;
 
-/// Why the process ends: the line and what was wrong with it.
+/// The error that ends the process, with the number of the input line.
 #[derive(Debug)]
 pub struct ProtocolError {
     pub line: u64,
@@ -20,75 +21,82 @@
     }
 }
 
-/// A request's word, kept until it is finished and none of its attempts is out.
-struct Word {
-    word: Rc<str>,
-    out: u32,
+/// A request that is kept until it has got its final response and all of its attempts have ended.
+struct TrackedRequest {
+    name: Rc<str>,
+    attempts_out: u32,
     finished: bool,
 }
 
+/// An instance of the decision module, which stands for one sidecar of the simulation.
 struct Instance {
     balancer: Balancer,
-    fields: Vec<Field>,
-    upstream_ids: HashMap<Rc<str>, EndpointId>,
-    upstream_words: Vec<Rc<str>>,
+    /// The values of a load report, in order.
+    report_fields: Vec<Field>,
+    endpoint_ids: HashMap<Rc<str>, EndpointId>,
+    /// Indexed by [`EndpointId`].
+    endpoint_names: Vec<Rc<str>>,
     request_ids: HashMap<Rc<str>, RequestId>,
-    requests: HashMap<RequestId, Word>,
-    next_request: u64,
+    requests: HashMap<RequestId, TrackedRequest>,
+    next_request_id: u64,
+    /// Empty between two events; kept to reuse the allocation.
     actions: Vec<Action>,
+    /// The instance's lines of the reply to the current batch.
     reply: Vec<u8>,
 }
 
 impl Instance {
     fn new(seed: u64, conf: &str) -> Result<Instance, String> {
-        let (settings, fields) = codec::parse_settings(conf)?;
+        let (settings, report_fields) = codec::parse_settings(conf)?;
         let balancer = Balancer::new(settings, seed).map_err(|e| e.to_string())?;
         Ok(Instance {
             balancer,
-            fields,
-            upstream_ids: HashMap::new(),
-            upstream_words: Vec::new(),
+            report_fields,
+            endpoint_ids: HashMap::new(),
+            endpoint_names: Vec::new(),
             request_ids: HashMap::new(),
             requests: HashMap::new(),
-            next_request: 0,
+            next_request_id: 0,
             actions: Vec::new(),
             reply: Vec::new(),
         })
     }
 
-    fn endpoint(&mut self, word: &str) -> EndpointId {
-        if let Some(&id) = self.upstream_ids.get(word) {
+    /// The id of an endpoint; an unknown endpoint gets the next id.
+    fn endpoint_id(&mut self, name: &str) -> EndpointId {
+        if let Some(&id) = self.endpoint_ids.get(name) {
             return id;
         }
-        let (id, word): (_, Rc<str>) = (EndpointId(self.upstream_words.len() as u32), word.into());
-        self.upstream_words.push(word.clone());
-        self.upstream_ids.insert(word, id);
+        let (id, name): (_, Rc<str>) = (EndpointId(self.endpoint_names.len() as u32), name.into());
+        self.endpoint_names.push(name.clone());
+        self.endpoint_ids.insert(name, id);
         id
     }
 
-    /// The id of a request; one that is not known gets an id that nothing else has.
-    fn request(&mut self, word: &str, keep: bool) -> RequestId {
-        if let Some(&id) = self.request_ids.get(word) {
+    /// The id of a request; an unknown request gets a unique id, which is remembered if `track` is set.
+    fn request_id(&mut self, name: &str, track: bool) -> RequestId {
+        if let Some(&id) = self.request_ids.get(name) {
             return id;
         }
-        let id = RequestId(self.next_request);
-        self.next_request += 1;
-        if keep {
-            let word: Rc<str> = word.into();
-            self.request_ids.insert(word.clone(), id);
-            self.requests.insert(id, Word { word, out: 0, finished: false });
+        let id = RequestId(self.next_request_id);
+        self.next_request_id += 1;
+        if track {
+            let name: Rc<str> = name.into();
+            self.request_ids.insert(name.clone(), id);
+            self.requests.insert(id, TrackedRequest { name, attempts_out: 0, finished: false });
         }
         id
     }
 
-    fn finish(&mut self, id: RequestId, returned: bool, finished: bool) {
+    /// Records the end of an attempt or of the request. A finished request without open attempts is no longer tracked.
+    fn update_request(&mut self, id: RequestId, attempt_ended: bool, finished: bool) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.out = request.out.saturating_sub(u32::from(returned));
+        request.attempts_out = request.attempts_out.saturating_sub(u32::from(attempt_ended));
         request.finished |= finished;
-        if request.finished && request.out == 0 {
-            let word = request.word.clone();
+        if request.finished && request.attempts_out == 0 {
+            let name = request.name.clone();
             self.requests.remove(&id);
-            self.request_ids.remove(&word);
+            self.request_ids.remove(&name);
         }
     }
 
@@ -96,45 +104,48 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.write(action);
+            self.write_action(action);
         }
         self.actions = actions;
     }
 
-    fn write(&mut self, action: Action) {
+    /// Adds an action to the reply. Actions for requests that are not tracked or for unknown endpoints are dropped.
+    fn write_action(&mut self, action: Action) {
         let written = match action {
             Action::Send { request, endpoint, timeout } => {
-                let up = self.upstream_words.get(endpoint.0 as usize);
-                let (Some(word), Some(up)) = (self.requests.get_mut(&request), up) else { return };
-                word.out += 1;
-                writeln!(self.reply, "FORWARD {} {} {up}", word.word, timeout.as_nanos())
+                let endpoint = self.endpoint_names.get(endpoint.0 as usize);
+                let (Some(request), Some(endpoint)) = (self.requests.get_mut(&request), endpoint) else {
+                    return;
+                };
+                request.attempts_out += 1;
+                writeln!(self.reply, "FORWARD {} {} {endpoint}", request.name, timeout.as_nanos())
             }
             Action::Reject { request, retry_after } => {
-                let Some(word) = self.requests.get(&request) else { return };
-                let wait = retry_after.unwrap_or_default().as_nanos();
-                let written = writeln!(self.reply, "DECLINE {} {wait}", word.word);
-                self.finish(request, false, true);
+                let Some(tracked) = self.requests.get(&request) else { return };
+                let retry_after = retry_after.unwrap_or_default().as_nanos();
+                let written = writeln!(self.reply, "DECLINE {} {retry_after}", tracked.name);
+                self.update_request(request, false, true);
                 written
             }
             Action::Fail(request) => {
-                let Some(word) = self.requests.get(&request) else { return };
-                let written = writeln!(self.reply, "END_FAILED {}", word.word);
-                self.finish(request, false, true);
+                let Some(tracked) = self.requests.get(&request) else { return };
+                let written = writeln!(self.reply, "END_FAILED {}", tracked.name);
+                self.update_request(request, false, true);
                 written
             }
             Action::Cancel { request, attempt } => {
-                let Some(word) = self.requests.get(&request) else { return };
-                writeln!(self.reply, "UNDO_SEND {} {attempt}", word.word)
+                let Some(tracked) = self.requests.get(&request) else { return };
+                writeln!(self.reply, "UNDO_SEND {} {attempt}", tracked.name)
             }
             Action::SetTimer { after, timer } => {
-                writeln!(self.reply, "SET_TIMER {} {}", after.as_nanos(), codec::write_timer(timer))
+                writeln!(self.reply, "SET_TIMER {} {}", after.as_nanos(), codec::format_timer(timer))
             }
-            Action::Probe(endpoint) => match self.upstream_words.get(endpoint.0 as usize) {
-                Some(word) => writeln!(self.reply, "INSPECT {word}"),
+            Action::Probe(endpoint) => match self.endpoint_names.get(endpoint.0 as usize) {
+                Some(name) => writeln!(self.reply, "INSPECT {name}"),
                 None => return,
             },
-            Action::CloseIdle(endpoint) => match self.upstream_words.get(endpoint.0 as usize) {
-                Some(word) => writeln!(self.reply, "RELEASE {word}"),
+            Action::CloseIdle(endpoint) => match self.endpoint_names.get(endpoint.0 as usize) {
+                Some(name) => writeln!(self.reply, "RELEASE {name}"),
                 None => return,
             },
             Action::Subscribe => writeln!(self.reply, "TAIL 1"),
@@ -147,115 +158,115 @@
 struct Host {
     instances: BTreeMap<u32, Instance>,
     lists: BTreeMap<usize, Vec<ListItem>>,
-    filling: Option<(usize, usize)>,
+    /// The list that is being received, and the number of items still to come.
+    incoming_list: Option<(usize, usize)>,
+    /// The instance that messages are for.
     current: Option<u32>,
+    /// The time of the current batch.
     now: Time,
 }
 
 impl Host {
     fn instance(&mut self) -> Result<&mut Instance, String> {
-        let who = self.current.ok_or("no instance is named")?;
-        self.instances.get_mut(&who).ok_or_else(|| format!("instance {who} has not begun"))
+        let id = self.current.ok_or("no instance is named")?;
+        self.instances.get_mut(&id).ok_or_else(|| format!("instance {id} has not begun"))
     }
 
-    fn line(&mut self, line: Message<'_>) -> Result<(), String> {
+    fn handle_message(&mut self, message: Message<'_>) -> Result<(), String> {
         let now = self.now;
-        match line {
-            Message::Mark { .. } | Message::End => unreachable!("taken by run"),
-            Message::For(who) => self.current = Some(who),
+        match message {
+            Message::Mark { .. } | Message::End => unreachable!("handled by run"),
+            Message::For(id) => self.current = Some(id),
             Message::Begin { seed, conf } => {
-                let who = self.current.ok_or("no instance is named")?;
+                let id = self.current.ok_or("no instance is named")?;
                 let mut instance = Instance::new(seed, conf)?;
                 instance.handle(now, Event::Start);
-                self.instances.insert(who, instance);
+                self.instances.insert(id, instance);
             }
             Message::Exit => {
                 self.instances.remove(&self.current.ok_or("no instance is named")?);
             }
-            Message::Catalog { set, rows } => {
-                self.lists.insert(set, Vec::with_capacity(rows.min(4096)));
-                self.filling = Some((set, rows)).filter(|_| rows > 0);
+            Message::Catalog { list_id, item_count } => {
+                // The count comes from the input, so it may be arbitrarily large.
+                self.lists.insert(list_id, Vec::with_capacity(item_count.min(4096)));
+                self.incoming_list = Some((list_id, item_count)).filter(|_| item_count > 0);
             }
-            Message::Fleet { scope, set } => self.fleet(scope, set)?,
-            Message::Ask { rid, class, tenant, left, hint, repeat } => {
+            Message::Fleet { scope, list_id } => self.deliver_list(scope, list_id)?,
+            Message::Ask { request, class, tenant, time_left, work_hint, client_retry } => {
                 let instance = self.instance()?;
-                let request = instance.request(rid, true);
+                let request = instance.request_id(request, true);
                 let (class, tenant) = (ClassId(class), tenant.map(TenantId));
                 instance.handle(
                     now,
-                    Event::Request {
-                        request,
-                        class,
-                        tenant,
-                        time_left: left,
-                        work_hint: hint,
-                        client_retry: repeat,
-                    },
+                    Event::Request { request, class, tenant, time_left, work_hint, client_retry },
                 );
             }
-            Message::FirstByte { rid, attempt } => {
+            Message::FirstByte { request, attempt } => {
                 let instance = self.instance()?;
-                let request = instance.request(rid, false);
+                let request = instance.request_id(request, false);
                 instance.handle(now, Event::FirstByte { request, attempt });
             }
             Message::Returned(r) => {
                 let instance = self.instance()?;
-                let request = instance.request(r.rid, false);
-                let endpoint = instance.endpoint(r.endpoint);
-                let report = codec::parse_report(r.load, &instance.fields)?;
-                let (attempt, closed, outcome, latency) = (r.attempt, r.closed, r.outcome, r.latency);
-                let event =
-                    Event::Outcome { request, attempt, endpoint, finished: closed, outcome, latency, report };
+                let request = instance.request_id(r.request, false);
+                let endpoint = instance.endpoint_id(r.endpoint);
+                let report = codec::parse_report(r.report, &instance.report_fields)?;
+                let (attempt, finished, outcome, latency) = (r.attempt, r.finished, r.outcome, r.latency);
+                let event = Event::Outcome { request, attempt, endpoint, finished, outcome, latency, report };
                 instance.handle(now, event);
-                instance.finish(request, true, closed);
+                instance.update_request(request, true, finished);
             }
-            Message::Withdrawn(rid) => {
+            Message::Withdrawn(request) => {
                 let instance = self.instance()?;
-                let request = instance.request(rid, false);
+                let request = instance.request_id(request, false);
                 instance.handle(now, Event::ClientDisconnected(request));
-                instance.finish(request, false, true);
+                instance.update_request(request, false, true);
             }
-            Message::Elapsed(ctx) => {
-                let timer = codec::parse_timer(ctx)?;
+            Message::Elapsed(context) => {
+                let timer = codec::parse_timer(context)?;
                 self.instance()?.handle(now, Event::Timer(timer));
             }
-            Message::Pong { endpoint, outcome, latency, load } => {
+            Message::Pong { endpoint, outcome, latency, report } => {
                 let instance = self.instance()?;
-                let endpoint = instance.endpoint(endpoint);
-                let report = codec::parse_report(load, &instance.fields)?;
+                let endpoint = instance.endpoint_id(endpoint);
+                let report = codec::parse_report(report, &instance.report_fields)?;
                 instance.handle(now, Event::Probed { endpoint, outcome, latency, report });
             }
             Message::Memo => {
+                // Ignored, but it must be for an instance that runs.
                 self.instance()?;
             }
         }
         Ok(())
     }
 
-    fn fleet(&mut self, scope: Option<ListScope>, set: Option<usize>) -> Result<(), String> {
+    /// Passes an endpoint list to the current instance; without a scope, tells it that its call to discovery failed.
+    fn deliver_list(&mut self, scope: Option<ListScope>, list_id: Option<usize>) -> Result<(), String> {
         let now = self.now;
         let Some(scope) = scope else {
             self.instance()?.handle(now, Event::DiscoveryFailed);
             return Ok(());
         };
-        let set = set.ok_or("set-id is missing")?;
-        let items = self.lists.remove(&set).ok_or_else(|| format!("list {set} is not known"))?;
+        let list_id = list_id.ok_or("set-id is missing")?;
+        // Taken out while the instance is borrowed, and put back below: other instances get the same list.
+        let items = self.lists.remove(&list_id).ok_or_else(|| format!("list {list_id} is not known"))?;
         let instance = self.instance()?;
         let mut entries = Vec::with_capacity(items.len());
         for item in &items {
-            let endpoint = instance.endpoint(&item.word);
+            let endpoint = instance.endpoint_id(&item.name);
             let ListItem { cell, zone, started, state, weight, .. } = *item;
             entries.push(EndpointEntry { endpoint, key: item.key, cell, zone, started, state, weight });
         }
         instance.handle(now, Event::EndpointList { scope, entries });
-        self.lists.insert(set, items);
+        self.lists.insert(list_id, items);
         Ok(())
     }
 
-    fn reply(&mut self, batch: &str, output: &mut impl Write) -> std::io::Result<()> {
-        for (who, instance) in &mut self.instances {
+    /// Writes the reply to a batch: the lines of each instance that has any.
+    fn write_reply(&mut self, batch: &str, output: &mut impl Write) -> std::io::Result<()> {
+        for (id, instance) in &mut self.instances {
             if !instance.reply.is_empty() {
-                writeln!(output, "INSTANCE {who}")?;
+                writeln!(output, "INSTANCE {id}")?;
                 output.write_all(&instance.reply)?;
                 instance.reply.clear();
             }
@@ -265,50 +276,50 @@
     }
 }
 
-/// Serves batches until the input ends; an end within a batch is a fault.
+/// Replies to batches until the input ends. An end of input within a batch is an error.
 pub fn run(mut input: impl BufRead, output: impl Write) -> Result<(), ProtocolError> {
     let mut output = std::io::BufWriter::with_capacity(1 << 16, output);
     let mut host = Host::default();
     let mut batch: Option<String> = None;
     let mut text = String::new();
-    let mut number = 0;
+    let mut line_number = 0;
     loop {
-        let fault = |message: String| ProtocolError { line: number + 1, message };
+        let error = |message: String| ProtocolError { line: line_number + 1, message };
         text.clear();
-        if input.read_line(&mut text).map_err(|e| fault(format!("cannot be read: {e}")))? == 0 {
+        if input.read_line(&mut text).map_err(|e| error(format!("cannot be read: {e}")))? == 0 {
             return match batch {
                 None => Ok(()),
-                Some(_) => Err(fault("the input ends within a batch".into())),
+                Some(_) => Err(error("the input ends within a batch".into())),
             };
         }
-        number += 1;
-        let fault = |message: String| ProtocolError { line: number, message };
-        let Some(line) = text.strip_suffix('\n') else { return Err(fault("the line is cut off".into())) };
+        line_number += 1;
+        let error = |message: String| ProtocolError { line: line_number, message };
+        let Some(line) = text.strip_suffix('\n') else { return Err(error("the line is cut off".into())) };
         if batch.is_some()
-            && let Some((set, rows)) = host.filling
+            && let Some((list_id, remaining)) = host.incoming_list
         {
-            let item = codec::parse_item(line).map_err(fault)?;
-            host.lists.entry(set).or_default().push(item);
-            host.filling = Some((set, rows - 1)).filter(|_| rows > 1);
+            let item = codec::parse_item(line).map_err(error)?;
+            host.lists.entry(list_id).or_default().push(item);
+            host.incoming_list = Some((list_id, remaining - 1)).filter(|_| remaining > 1);
             continue;
         }
         if batch.is_none() && line.is_empty() {
             continue;
         }
-        match (codec::parse(line).map_err(fault)?, &batch) {
+        match (codec::parse(line).map_err(error)?, &batch) {
             (Message::Mark { now, batch: id }, None) => {
                 host.now = now;
                 host.current = None;
                 batch = Some(id.to_owned());
             }
-            (Message::Mark { .. }, Some(_)) => return Err(fault("a batch begins within a batch".into())),
-            (_, None) => return Err(fault("a batch must begin with MARK".into())),
+            (Message::Mark { .. }, Some(_)) => return Err(error("a batch begins within a batch".into())),
+            (_, None) => return Err(error("a batch must begin with MARK".into())),
             (Message::End, Some(id)) => {
-                host.reply(id, &mut output)
-                    .map_err(|e| fault(format!("the reply cannot be written: {e}")))?;
+                host.write_reply(id, &mut output)
+                    .map_err(|e| error(format!("the reply cannot be written: {e}")))?;
                 batch = None;
             }
-            (line, Some(_)) => host.line(line).map_err(fault)?,
+            (message, Some(_)) => host.handle_message(message).map_err(error)?,
         }
     }
 }
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,4 +1,4 @@
-//! Wire codec and instance hosting: no decisions.
+//! Runs instances of the decision module for a simulator, behind a line protocol. All decisions are the module's.
 #![forbid(unsafe_code)]
 
 pub mod codec;
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -1,4 +1,4 @@
-//! Reads batches on standard input and writes one reply each on standard output.
+//! Reads batches of messages from standard input and writes one reply per batch to standard output.
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
@@ -6,8 +6,8 @@
     let output = std::io::stdout().lock();
     match cometcroft_sim::host::run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("cometcroft-sim: {fault}");
+        Err(error) => {
+            eprintln!("cometcroft-sim: {error}");
             ExitCode::FAILURE
         }
     }
