--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,9 @@
-//! The one place through which a sidecar gets its sockets, its clock and its tasks.
+//! The sockets, the clock and the tasks of a sidecar, behind the trait [`Platform`].
 //!
-//! The network code is generic over [`Platform`]. The daemon runs it on [`Tokio`], where each call is the runtime's
-//! own; the emulator runs the same code on a virtual clock and a simulated network. All times are
-//! [`std::time::Instant`]; only their differences mean anything. `docs/design/seam.md` weighs the alternatives.
+//! The network code is generic over [`Platform`] and has no other access to them. The sidecar's program uses [`Tokio`],
+//! which calls the tokio runtime directly; the emulator runs the same code on a virtual clock and a simulated network.
+//! All times are [`std::time::Instant`]; only differences between them are meaningful. `docs/design/seam.md` compares
+//! the alternatives.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -19,7 +20,7 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// A time-out struck before the work was done.
+/// The error of an operation that was not done before its timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Elapsed;
 
@@ -37,95 +38,98 @@
     }
 }
 
-/// A connection: ordered bytes both ways. Dropped, it is closed.
+/// A connection: an ordered byte stream in each direction. Closed when dropped.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + Debug + 'static {
-    /// Sends small writes at once.
+    /// Sends small writes without delay (`TCP_NODELAY`).
     fn set_nodelay(&self) -> io::Result<()>;
-    /// Neither its end nor bytes that nobody asked for have come, as the socket itself tells now.
+    /// True if the socket currently has neither unread bytes nor an end of stream nor an error.
     fn is_idle(&self) -> bool;
-    /// The peer has ended its sending, or the connection has broken, also where bytes that came before that are unread.
+    /// True if the other side has closed its sending direction or the connection has failed, even if earlier bytes are
+    /// still unread.
     fn is_read_closed(&self) -> bool;
 }
 
-/// A listening socket. Dropped, it takes no further connection.
+/// A listening socket. Closed when dropped.
 pub trait Listener: 'static {
-    /// What it accepts.
+    /// The type of the accepted connections.
     type Stream: Stream;
-    /// The next connection. Fails when descriptors have run out or the peer left at once; neither ends it.
+    /// Accepts the next connection. Fails if the process has no descriptors left or the other side has already
+    /// disconnected; the listener remains usable after either.
     fn accept(&self) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
-/// A socket for datagrams. Dropped, it is closed.
+/// A datagram socket. Closed when dropped.
 pub trait Datagrams: 'static {
-    /// The next datagram, cut to the buffer, and whose it is.
+    /// Receives the next datagram, truncated to the buffer. Returns its length and its sender.
     fn receive(&self, buffer: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
-    /// Sends one at once or not at all; whether it arrives is never told.
+    /// Sends a datagram without waiting, or fails. Delivery is not reported.
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()>;
 }
 
-/// A running task. Awaited, it ends when the task is done or, after an abort, when what it held is dropped.
+/// A spawned task. As a future, it completes when the task is done or, after an abort, when the task's values are
+/// dropped. Dropping it does not stop the task.
 pub trait Task: Future<Output = ()> + Unpin + 'static {
-    /// Ends the task at its next turn.
+    /// Stops the task when it is next scheduled.
     fn abort(&self);
 }
 
-/// Sockets, clock and tasks of one process. Clones stand for the same process.
+/// Sockets, clock and tasks of one process. Clones belong to the same process.
 pub trait Platform: Clone + 'static {
-    /// A connection.
+    /// The type of connections.
     type Stream: Stream;
-    /// A listening socket.
+    /// The type of listening sockets.
     type Listener: Listener<Stream = Self::Stream>;
-    /// A socket for datagrams.
+    /// The type of datagram sockets.
     type Datagrams: Datagrams;
-    /// A running task.
+    /// The type of spawned tasks.
     type Task: Task;
 
-    /// The monotonic clock.
+    /// The time of the monotonic clock.
     fn now(&self) -> Instant;
     /// The time since the Unix epoch.
     fn unix(&self) -> Duration;
-    /// Waits until the clock shows `at`.
+    /// Waits until the monotonic clock reaches `at`.
     fn sleep_until(&self, at: Instant) -> impl Future<Output = ()> + 'static;
-    /// Runs a task on this thread.
+    /// Starts a task on this thread.
     fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Self::Task;
-    /// Opens a connection. Never ends where the other side is silent; callers bound it.
+    /// Opens a connection. Has no timeout of its own: if the other side does not respond, the caller has to give up.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 
-    /// The same, from an address of this machine that the other side is to see.
+    /// Opens a connection whose local address is `from`, an address of this machine.
     fn connect_from(&self, from: IpAddr, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 
-    /// Runs a task that nobody waits for and that ends by itself.
+    /// Starts a task that is not awaited and ends by itself.
     fn detach(&self, task: impl Future<Output = ()> + 'static) {
         drop(self.spawn(task));
     }
 
-    /// Time that has passed since then.
+    /// Time that has passed since `then`; zero if `then` is in the future.
     fn since(&self, then: Instant) -> Duration {
         self.now().saturating_duration_since(then)
     }
 
-    /// Waits for so long.
+    /// Waits for `time`.
     fn sleep(&self, time: Duration) -> impl Future<Output = ()> + 'static {
         self.sleep_until(self.now() + time)
     }
 
-    /// The work's result, or [`Elapsed`] if it is not done at `at`. Work that is done in that instant counts.
+    /// The result of `work`, or [`Elapsed`] if it is not done by `at`. Work that is done at that very instant is in time.
     fn timeout_at<F: Future>(
         &self,
         at: Instant,
         work: F,
     ) -> impl Future<Output = Result<F::Output, Elapsed>> {
-        let late = self.sleep_until(at);
+        let deadline = self.sleep_until(at);
         async move {
             tokio::select! {
                 biased;
-                done = work => Ok(done),
-                () = late => Err(Elapsed),
+                result = work => Ok(result),
+                () = deadline => Err(Elapsed),
             }
         }
     }
 
-    /// The work's result, or [`Elapsed`] if it takes longer than `time`.
+    /// The result of `work`, or [`Elapsed`] if it takes longer than `time`.
     fn timeout<F: Future>(
         &self,
         time: Duration,
--- a/crates/platform/src/resumed.rs
+++ b/crates/platform/src/resumed.rs
@@ -1,5 +1,5 @@
-//! Calls that failed and have done nothing are made again: what a signal interrupted at once, and what the system had no
-//! memory for after a pause. Neither says anything of a connection.
+//! Retries of system calls that failed without any effect: immediately if a signal interrupted the call, after a delay if
+//! the system had no memory for it. Neither failure means that the connection is broken.
 
 use rustix::io::Errno;
 use std::io;
@@ -9,23 +9,23 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Sleep;
 
-/// A call for which there was no memory is made again after this time.
-const LACK_PAUSE: Duration = Duration::from_millis(2);
+/// Delay before a call that failed for lack of memory is retried.
+const OUT_OF_MEMORY_DELAY: Duration = Duration::from_millis(2);
 
-/// A stream whose reads and writes are made again where they were interrupted (`EINTR`) or there was no memory for them
-/// (`ENOBUFS`, `ENOMEM`). A lack may last; whoever reads or writes bounds the wait.
+/// A stream that retries reads and writes that were interrupted (`EINTR`) or failed for lack of memory (`ENOBUFS`,
+/// `ENOMEM`). The lack of memory may last, so the caller has to set a timeout.
 #[derive(Debug)]
 pub struct RetryingStream<S> {
     stream: S,
-    read_pause: Pause,
-    write_pause: Pause,
+    read_delay: RetryDelay,
+    write_delay: RetryDelay,
 }
 
-/// The time until a call is made again; none where the last one was not short of memory.
-type Pause = Option<Pin<Box<Sleep>>>;
+/// The delay before the next call; `None` unless the last one failed for lack of memory.
+type RetryDelay = Option<Pin<Box<Sleep>>>;
 
 impl<S> RetryingStream<S> {
-    /// The stream itself.
+    /// The wrapped stream.
     pub fn get_ref(&self) -> &S {
         &self.stream
     }
@@ -33,11 +33,11 @@
 
 impl<S> From<S> for RetryingStream<S> {
     fn from(stream: S) -> RetryingStream<S> {
-        RetryingStream { stream, read_pause: None, write_pause: None }
+        RetryingStream { stream, read_delay: None, write_delay: None }
     }
 }
 
-/// The first result of a call that no signal interrupted. A call that was interrupted has done nothing.
+/// Repeats a call until it is not interrupted by a signal, and returns its result. An interrupted call has had no effect.
 pub async fn retry_interrupted<T, F: Future<Output = io::Result<T>>>(
     mut call: impl FnMut() -> F,
 ) -> io::Result<T> {
@@ -49,33 +49,33 @@
     }
 }
 
-fn lacks_memory(error: &io::Error) -> bool {
+fn is_out_of_memory(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// The first result of a poll that was neither interrupted nor short of memory.
-fn resume<T>(
-    pause: &mut Pause,
+/// Repeats a poll until it is neither interrupted nor out of memory, and returns its result.
+fn poll_with_retries<T>(
+    delay: &mut RetryDelay,
     context: &mut Context<'_>,
     mut call: impl FnMut(&mut Context<'_>) -> Poll<io::Result<T>>,
 ) -> Poll<io::Result<T>> {
     loop {
-        if let Some(wait) = pause {
-            ready!(wait.as_mut().poll(context));
-            *pause = None;
+        if let Some(sleep) = delay {
+            ready!(sleep.as_mut().poll(context));
+            *delay = None;
         }
         match call(context) {
             Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::Interrupted => {}
-            Poll::Ready(Err(error)) if lacks_memory(&error) => *pause = Some(sleep()),
+            Poll::Ready(Err(error)) if is_out_of_memory(&error) => *delay = Some(out_of_memory_delay()),
             result => return result,
         }
     }
 }
 
-/// The daemon's streams live on its runtime's clock.
+// This type wraps streams of the tokio runtime, so tokio's own clock is the right one.
 #[allow(clippy::disallowed_methods)]
-fn sleep() -> Pin<Box<Sleep>> {
-    Box::pin(tokio::time::sleep(LACK_PAUSE))
+fn out_of_memory_delay() -> Pin<Box<Sleep>> {
+    Box::pin(tokio::time::sleep(OUT_OF_MEMORY_DELAY))
 }
 
 impl<S: AsyncRead + Unpin> AsyncRead for RetryingStream<S> {
@@ -84,24 +84,24 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let RetryingStream { stream, read_pause, .. } = self.get_mut();
-        resume(read_pause, context, |context| Pin::new(&mut *stream).poll_read(context, buffer))
+        let RetryingStream { stream, read_delay, .. } = self.get_mut();
+        poll_with_retries(read_delay, context, |context| Pin::new(&mut *stream).poll_read(context, buffer))
     }
 }
 
 impl<S: AsyncWrite + Unpin> AsyncWrite for RetryingStream<S> {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let RetryingStream { stream, write_pause, .. } = self.get_mut();
-        resume(write_pause, context, |context| Pin::new(&mut *stream).poll_write(context, bytes))
+        let RetryingStream { stream, write_delay, .. } = self.get_mut();
+        poll_with_retries(write_delay, context, |context| Pin::new(&mut *stream).poll_write(context, bytes))
     }
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let RetryingStream { stream, write_pause, .. } = self.get_mut();
-        resume(write_pause, context, |context| Pin::new(&mut *stream).poll_flush(context))
+        let RetryingStream { stream, write_delay, .. } = self.get_mut();
+        poll_with_retries(write_delay, context, |context| Pin::new(&mut *stream).poll_flush(context))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let RetryingStream { stream, write_pause, .. } = self.get_mut();
-        resume(write_pause, context, |context| Pin::new(&mut *stream).poll_shutdown(context))
+        let RetryingStream { stream, write_delay, .. } = self.get_mut();
+        poll_with_retries(write_delay, context, |context| Pin::new(&mut *stream).poll_shutdown(context))
     }
 }
--- a/crates/platform/src/tokio_rt.rs
+++ b/crates/platform/src/tokio_rt.rs
@@ -1,5 +1,5 @@
-//! The platform of the daemon: tokio on one thread, inside a `LocalSet`. The only place that may call its clock,
-//! sockets and tasks directly; `clippy.toml` keeps the other packages to that.
+//! The platform of the sidecar's program: tokio on one thread, inside a `LocalSet`. The network code reaches tokio's
+//! clock, sockets and tasks only through this module; `clippy.toml` forbids direct calls in the other packages.
 #![allow(clippy::disallowed_methods)]
 
 use crate::{Datagrams, Listener, Platform, RetryingStream, Stream, Task, retry_interrupted};
@@ -14,11 +14,11 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::task::JoinHandle;
 
-/// tokio's sockets, clock and local tasks; must be used inside a `LocalSet`.
+/// The sockets, clock and local tasks of tokio; must be used inside a `LocalSet`.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Tokio;
 
-/// A local task of tokio.
+/// A task that was spawned on tokio's `LocalSet`.
 #[derive(Debug)]
 pub struct LocalTask(JoinHandle<()>);
 
@@ -41,7 +41,7 @@
     }
 
     fn is_idle(&self) -> bool {
-        // The runtime may not have heard of them yet, so the socket itself is asked.
+        // The runtime may not have polled the socket yet, so its readiness can be out of date: peek at the socket.
         let mut byte = [MaybeUninit::uninit()];
         let socket = socket2::SockRef::from(self.get_ref());
         loop {
@@ -110,16 +110,16 @@
     }
 
     async fn connect(&self, to: SocketAddr) -> io::Result<RetryingStream<TcpStream>> {
-        // The socket of an attempt that a signal interrupted is closed with it: the next one has its own.
+        // An interrupted connect closes its socket; the next one opens a new socket.
         Ok(retry_interrupted(|| TcpStream::connect(to)).await?.into())
     }
 
     async fn connect_from(&self, from: IpAddr, to: SocketAddr) -> io::Result<RetryingStream<TcpStream>> {
-        let attempt = async || {
+        let connect = async || {
             let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
             socket.bind(SocketAddr::new(from, 0))?;
             socket.connect(to).await
         };
-        Ok(retry_interrupted(attempt).await?.into())
+        Ok(retry_interrupted(connect).await?.into())
     }
 }
--- a/crates/platform/tests/lacking.rs
+++ b/crates/platform/tests/lacking.rs
@@ -1,4 +1,4 @@
-//! A read or a write that fails for lack of memory has done nothing, and its connection is sound: it is made again.
+//! A read or a write that fails for lack of memory has had no effect and its connection still works, so it is retried.
 #![allow(clippy::disallowed_methods)]
 
 use cometcroft_platform::RetryingStream;
@@ -11,40 +11,40 @@
 const ENOMEM: i32 = 12;
 const ENOBUFS: i32 = 105;
 
-/// A stream that has no memory for the first calls, and then takes or gives all.
-struct Lacking {
+/// A stream whose first calls fail with `error`; the later ones succeed.
+struct FailingStream {
     error: i32,
     failures: u32,
     calls: u32,
     written: Vec<u8>,
 }
 
-impl Lacking {
-    fn new(error: i32, failures: u32) -> Lacking {
-        Lacking { error, failures, calls: 0, written: Vec::new() }
+impl FailingStream {
+    fn new(error: i32, failures: u32) -> FailingStream {
+        FailingStream { error, failures, calls: 0, written: Vec::new() }
     }
 
-    fn lacks(&mut self) -> io::Result<()> {
+    fn next_call(&mut self) -> io::Result<()> {
         self.calls += 1;
         if self.calls <= self.failures { Err(io::Error::from_raw_os_error(self.error)) } else { Ok(()) }
     }
 }
 
-impl AsyncRead for Lacking {
+impl AsyncRead for FailingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.lacks()?;
+        self.next_call()?;
         buffer.put_slice(b"hi");
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Lacking {
+impl AsyncWrite for FailingStream {
     fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        self.lacks()?;
+        self.next_call()?;
         self.written.extend_from_slice(bytes);
         Poll::Ready(Ok(bytes.len()))
     }
@@ -59,17 +59,17 @@
 }
 
 fn run(work: impl Future<Output = ()>) {
-    tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime").block_on(work);
+    tokio::runtime::Builder::new_current_thread().enable_time().build().expect("runtime").block_on(work);
 }
 
 #[test]
-fn what_failed_for_lack_of_memory_is_made_again_and_loses_nothing() {
+fn calls_that_fail_for_lack_of_memory_are_retried_without_loss() {
     for error in [ENOBUFS, ENOMEM] {
         run(async {
-            let mut stream = RetryingStream::from(Lacking::new(error, 3));
+            let mut stream = RetryingStream::from(FailingStream::new(error, 3));
             stream.write_all(b"hello").await.expect("written");
             assert_eq!((stream.get_ref().written.as_slice(), stream.get_ref().calls), (&b"hello"[..], 4));
-            let mut stream = RetryingStream::from(Lacking::new(error, 3));
+            let mut stream = RetryingStream::from(FailingStream::new(error, 3));
             let mut bytes = [0; 2];
             stream.read_exact(&mut bytes).await.expect("read");
             assert_eq!((&bytes, stream.get_ref().calls), (b"hi", 4));
@@ -77,25 +77,25 @@
     }
 }
 
-/// A lack that lasts neither fails the call nor makes it spin; its caller bounds it.
+/// A lasting lack of memory neither fails the call nor makes it retry in a busy loop; the caller sets the timeout.
 #[test]
-fn a_lack_that_lasts_is_asked_after_now_and_then() {
+fn a_lasting_lack_of_memory_is_retried_with_delays() {
     run(async {
-        let mut stream = RetryingStream::from(Lacking::new(ENOBUFS, u32::MAX));
-        let waited = tokio::time::timeout(Duration::from_millis(60), stream.write_all(b"hello")).await;
-        assert!(waited.is_err(), "{waited:?}");
+        let mut stream = RetryingStream::from(FailingStream::new(ENOBUFS, u32::MAX));
+        let result = tokio::time::timeout(Duration::from_millis(60), stream.write_all(b"hello")).await;
+        assert!(result.is_err(), "{result:?}");
         let calls = stream.get_ref().calls;
         assert!((2..=60).contains(&calls), "{calls} calls in 60 ms");
     });
 }
 
-/// Whatever else fails is told at once.
+/// All other errors are returned at once.
 #[test]
-fn other_errors_are_told() {
+fn other_errors_are_returned() {
     const ECONNRESET: i32 = 104;
     run(async {
-        let mut stream = RetryingStream::from(Lacking::new(ECONNRESET, 1));
-        let error = stream.write_all(b"hello").await.expect_err("a reset");
+        let mut stream = RetryingStream::from(FailingStream::new(ECONNRESET, 1));
+        let error = stream.write_all(b"hello").await.expect_err("reset");
         assert_eq!(error.raw_os_error(), Some(ECONNRESET));
     });
 }
