--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// The error of an operation that was not done before its timeout.
+/// Error: an operation was not done before its timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Elapsed;
 
--- a/crates/platform/tests/resumed.rs
+++ b/crates/platform/tests/resumed.rs
@@ -7,7 +7,7 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 
-/// A stream on which each call is is_interrupted twice before it reads or writes one byte.
+/// A stream on which each call is interrupted twice before it reads or writes one byte.
 #[derive(Default)]
 struct InterruptedStream {
     calls: u32,
@@ -15,7 +15,7 @@
 }
 
 impl InterruptedStream {
-    fn is_interrupted(&mut self) -> bool {
+    fn next_is_interrupted(&mut self) -> bool {
         self.calls += 1;
         !self.calls.is_multiple_of(3)
     }
@@ -27,7 +27,7 @@
         _: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.is_interrupted() {
+        if self.next_is_interrupted() {
             return Poll::Ready(Err(io::ErrorKind::Interrupted.into()));
         }
         buffer.put_slice(b"x");
@@ -37,7 +37,7 @@
 
 impl AsyncWrite for InterruptedStream {
     fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        if self.is_interrupted() {
+        if self.next_is_interrupted() {
             return Poll::Ready(Err(io::ErrorKind::Interrupted.into()));
         }
         self.written.push(bytes[0]);
@@ -45,8 +45,8 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let is_interrupted = self.is_interrupted();
-        Poll::Ready(if is_interrupted { Err(io::ErrorKind::Interrupted.into()) } else { Ok(()) })
+        let interrupted = self.next_is_interrupted();
+        Poll::Ready(if interrupted { Err(io::ErrorKind::Interrupted.into()) } else { Ok(()) })
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/sim/src/codec.rs
+++ b/crates/sim/src/codec.rs
@@ -33,7 +33,7 @@
     Exit,
     /// Start of an endpoint list; its items follow, one a line.
     Catalog { list_id: usize, item_count: usize },
-    /// Delivery of an endpoint list to an instance; without a scope, its call to discovery failed.
+    /// Delivery of an endpoint list. A scope of `None` (`refused`): the instance's call to discovery failed.
     Fleet { scope: Option<ListScope>, list_id: Option<usize> },
     /// A request of a client.
     Ask {
--- a/crates/tomlfile/src/tests.rs
+++ b/crates/tomlfile/src/tests.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn errors_name_file_line_field_reason_and_the_nearest_field() {
-    let error = |text: &str| read::<File>(text, "f.toml").expect_err("refused").to_string();
+    let error = |text: &str| read::<File>(text, "f.toml").expect_err("invalid file").to_string();
     let unknown = error("pause = \"2s\"\nmembrs = 3\n");
     assert!(unknown.starts_with("f.toml:2:1: membrs: unknown field"), "{unknown}");
     assert!(unknown.ends_with("did you mean \"members\"?"), "{unknown}");
