--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -7,10 +7,10 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-mod resumed;
+mod retrying_stream;
 mod tokio_rt;
 
-pub use resumed::{RetryingStream, retry_interrupted};
+pub use retrying_stream::{RetryingStream, retry_interrupted};
 pub use tokio_rt::{LocalTask, Tokio};
 
 use std::fmt::Debug;
