--- a/crates/sidecar/src/operator_file.rs
+++ b/crates/sidecar/src/operator_file.rs
@@ -217,7 +217,7 @@
     /// Reads and checks the file.
     pub fn load(path: &Path) -> Result<OperatorFile, FileError> {
         let file = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| FileError::of(&file, e))?;
+        let text = std::fs::read_to_string(path).map_err(|e| FileError::new(&file, e))?;
         OperatorFile::parse(&text, &file)
     }
 
--- a/crates/sidecar/tests/common/in_process.rs
+++ b/crates/sidecar/tests/common/in_process.rs
@@ -2,7 +2,7 @@
 //! itself, step by step.
 
 use super::program::unchanged_response;
-use cometcroft_platform::{Listener, Local, Platform, Resumed, Stream, Tokio};
+use cometcroft_platform::{Listener, LocalTask, Platform, RetryingStream, Stream, Tokio};
 use cometcroft_sidecar::Resources;
 use cometcroft_sidecar::config::Config;
 use cometcroft_sidecar::counters::Counters;
@@ -56,7 +56,7 @@
 
 /// A connection that must send small writes at once: what the system holds back goes with a reset.
 #[derive(Debug)]
-pub struct NodelayStream(Resumed<TcpStream>, Cell<bool>);
+pub struct NodelayStream(RetryingStream<TcpStream>, Cell<bool>);
 
 impl Stream for NodelayStream {
     fn set_nodelay(&self) -> io::Result<()> {
@@ -64,12 +64,12 @@
         Stream::set_nodelay(&self.0)
     }
 
-    fn quiet(&self) -> bool {
-        self.0.quiet()
+    fn is_idle(&self) -> bool {
+        self.0.is_idle()
     }
 
-    fn ended(&self) -> bool {
-        self.0.ended()
+    fn is_read_closed(&self) -> bool {
+        self.0.is_read_closed()
     }
 }
 
@@ -116,7 +116,7 @@
     type Stream = NodelayStream;
     type Listener = GatedListener;
     type Datagrams = UdpSocket;
-    type Task = Local;
+    type Task = LocalTask;
 
     fn now(&self) -> Instant {
         Tokio.now()
@@ -130,7 +130,7 @@
         Tokio.sleep_until(at)
     }
 
-    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Local {
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> LocalTask {
         Tokio.spawn(task)
     }
 
