--- a/crates/sidecar/src/discovery/call.rs
+++ b/crates/sidecar/src/discovery/call.rs
@@ -1,7 +1,7 @@
-//! One call to discovery over HTTP/1.1. Its list is read record by record, so what has arrived is known at once and is
-//! kept however the call ends.
+//! A single call to discovery over HTTP/1.1. The list is read record by record, so each record is available as soon as it has
+//! arrived, and is kept however the call ends.
 
-use super::abandonment::Abandonment;
+use super::call_state::SharedCallState;
 use crate::discovery_connections::DiscoveryConnections;
 use crate::endpoint_list::{EndpointList, EndpointRecord, ListError, ListReader};
 use crate::http::client::{self, Exchange};
@@ -19,152 +19,153 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// The longest list that is read, in bytes: some ten times that of 3,200 endpoints, indented.
-const MAX_LIST: usize = 16 << 20;
-/// A list that pauses for longer than this is reported as stalled: what is written counts as told, and the rest of it may
-/// never come.
-const STALLED: Duration = Duration::from_millis(80);
-/// A list that pauses for longer than this is given up.
-const GIVE_UP: Duration = Duration::from_secs(1);
-/// What was written before a call was abandoned comes within this time.
-const ON_ITS_WAY: Duration = Duration::from_millis(100);
-/// A connection is made within this time, or discovery counts as unreachable.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Other tasks run after so many bytes of a list at the latest: parsing them takes some tenths of a millisecond.
-const YIELD_AFTER: usize = 16 * 1024;
+/// Maximum length of a list: about ten times that of an indented list of 3,200 endpoints.
+const MAX_LIST_BYTES: usize = 16 << 20;
+/// A list that pauses for longer than this is reported as stalled: what discovery has written counts as delivered, but the
+/// rest may never arrive.
+const STALL_TIMEOUT: Duration = Duration::from_millis(80);
+/// A list that stays stalled for longer than this is given up.
+const STALLED_LIST_TIMEOUT: Duration = Duration::from_secs(1);
+/// What discovery wrote before a call was abandoned arrives within this time.
+const IN_TRANSIT: Duration = Duration::from_millis(100);
+/// Timeout for connecting, after which discovery counts as unreachable.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Number of bytes of a list after which other tasks get to run. Parsing them takes some tenths of a millisecond.
+const YIELD_AFTER_BYTES: usize = 16 * 1024;
 const OK: u16 = 200;
 
 /// How a call ended.
 #[derive(Debug)]
 pub(super) enum Outcome {
-    /// With a whole list.
+    /// The response was a complete, valid list.
     Answered(EndpointList),
-    /// With part of a list, or one that cannot be taken.
-    Broken(Option<ListError>),
-    /// It was refused.
-    Refused,
-    /// Nobody listened there.
-    NobodyListens,
-    /// No connection could be made otherwise, or it ended before a byte of an answer.
+    /// The response was a truncated or invalid list.
+    Invalid(Option<ListError>),
+    /// The response was not a list.
+    Rejected,
+    /// Nothing listens at the address.
+    NotListening,
+    /// No connection could be made for another reason, or it ended before the first byte of a response.
     Unreachable,
-    /// It was given up without an answer.
-    Silent,
+    /// No response began within the timeout.
+    TimedOut,
 }
 
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Outcome::Answered(EndpointList { version, is_complete, records }) => {
-                let scope = if *is_complete { "whole" } else { "changes" };
-                write!(f, "answered: version {version}, {scope}, {} rows", records.len())
+                let scope = if *is_complete { "complete" } else { "changes" };
+                write!(f, "answered: version {version}, {scope}, {} records", records.len())
             }
-            Outcome::Broken(Some(error)) => write!(f, "broken: {error}"),
-            Outcome::Broken(None) => f.write_str("broken"),
-            Outcome::Refused => f.write_str("refused"),
-            Outcome::NobodyListens => f.write_str("nobody listens"),
+            Outcome::Invalid(Some(error)) => write!(f, "invalid list: {error}"),
+            Outcome::Invalid(None) => f.write_str("invalid list"),
+            Outcome::Rejected => f.write_str("rejected"),
+            Outcome::NotListening => f.write_str("nothing listens at the address"),
             Outcome::Unreachable => f.write_str("unreachable"),
-            Outcome::Silent => f.write_str("silent"),
+            Outcome::TimedOut => f.write_str("timed out"),
         }
     }
 }
 
-/// A call that has ended, with its connection if that can be used again.
-pub(super) struct Ended<P: Platform> {
+/// The result of a call, with its connection if that can be reused.
+pub(super) struct CallResult<P: Platform> {
     pub outcome: Outcome,
     pub stream: Option<P::Stream>,
-    /// When the first byte of its answer was read.
+    /// When the first byte of the response was read.
     pub first_byte: Option<Instant>,
 }
 
-impl<P: Platform> Ended<P> {
-    /// A call without an answer.
-    fn unanswered(outcome: Outcome) -> Ended<P> {
-        Ended { outcome, stream: None, first_byte: None }
+impl<P: Platform> CallResult<P> {
+    fn unanswered(outcome: Outcome) -> CallResult<P> {
+        CallResult { outcome, stream: None, first_byte: None }
     }
 }
 
-/// Hears of a list while it arrives.
-pub(super) trait Arrivals {
-    /// These records have arrived, at this time, of a list of this version if that is known.
-    fn arrived(&mut self, records: &[EndpointRecord], index: Option<i64>, at: Instant);
-    /// The list goes on.
+/// Observes a list while it arrives.
+pub(super) trait ListObserver {
+    /// These records arrived at `at`. `version` is that of their list, if it is known yet.
+    fn arrived(&mut self, records: &[EndpointRecord], version: Option<i64>, at: Instant);
+    /// More of the list has arrived.
     fn progressed(&mut self);
-    /// Nothing of it has come for [`STALLED`].
+    /// Nothing more has arrived for [`STALL_TIMEOUT`].
     fn stalled(&mut self);
 }
 
-/// What is asked, where, and for how long an answer is waited for.
-pub(super) struct Question {
+/// The address, request target and timeout of a call.
+pub(super) struct CallRequest {
     pub address: SocketAddr,
     pub target: String,
-    /// The answer begins within this time.
+    /// Time within which the response has to begin.
     pub timeout: Duration,
 }
 
-/// Makes one call, on the connection `kept` if that is still open.
+/// Makes a call, on the connection `idle` if that is still open.
 pub(super) async fn make<P: Platform>(
     platform: &P,
-    kept: Option<P::Stream>,
-    question: Question,
+    idle: Option<P::Stream>,
+    request: CallRequest,
     connections: &DiscoveryConnections,
-    abandonment: &Abandonment,
-    arrivals: &mut impl Arrivals,
-) -> Ended<P> {
-    let until = platform.now() + question.timeout;
-    let asked = tokio::select! {
+    state: &SharedCallState,
+    observer: &mut impl ListObserver,
+) -> CallResult<P> {
+    let until = platform.now() + request.timeout;
+    let sent = tokio::select! {
         biased;
-        asked = platform.timeout_at(until, asked(platform, kept, &question)) => asked,
-        () = abandonment.abandoned() => return Ended::unanswered(Outcome::Unreachable),
+        sent = platform.timeout_at(until, connect_and_send(platform, idle, &request)) => sent,
+        () = state.abandoned() => return CallResult::unanswered(Outcome::Unreachable),
     };
-    let stream = match asked {
+    let stream = match sent {
         Ok(Ok(stream)) => Rc::new(RefCell::new(stream)),
-        Ok(Err(error)) if says_that_nobody_listens(&error) => {
-            return Ended::unanswered(Outcome::NobodyListens);
+        Ok(Err(error)) if is_not_listening(&error) => {
+            return CallResult::unanswered(Outcome::NotListening);
         }
-        Ok(Err(_)) => return Ended::unanswered(Outcome::Unreachable),
-        Err(_) => return Ended::unanswered(Outcome::Silent),
+        Ok(Err(_)) => return CallResult::unanswered(Outcome::Unreachable),
+        Err(_) => return CallResult::unanswered(Outcome::TimedOut),
     };
     connections.add(&stream);
-    let (exchange, list) = (Exchange::streamed(MAX_LIST), ListReader::default());
-    let mut answer = Answer {
+    let (exchange, list) = (Exchange::streamed(MAX_LIST_BYTES), ListReader::default());
+    let mut response = Response {
         platform,
         stream,
         exchange,
         list,
         first_byte: None,
-        told: 0,
+        reported: 0,
         is_list: false,
-        abandonment,
-        arrivals,
+        state,
+        observer,
     };
-    let end = answer.receive(until).await;
-    answer.conclude(end)
+    let end = response.receive(until).await;
+    response.conclude(end)
 }
 
-/// Danger: a connection that was reset, or that does not come up, may be at fault itself.
-fn says_that_nobody_listens(error: &io::Error) -> bool {
+/// Whether the error shows that nothing listens at the address. A reset or a time-out doesn't: the connection itself may be at
+/// fault.
+fn is_not_listening(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionRefused, HostUnreachable, NetworkUnreachable};
     matches!(error.kind(), ConnectionRefused | HostUnreachable | NetworkUnreachable)
 }
 
-/// Opens a connection, or takes the kept one, and writes the call.
-async fn asked<P: Platform>(
+/// Opens a connection, or takes the idle one, and writes the request.
+async fn connect_and_send<P: Platform>(
     platform: &P,
-    kept: Option<P::Stream>,
-    question: &Question,
+    idle: Option<P::Stream>,
+    request: &CallRequest,
 ) -> io::Result<P::Stream> {
-    // A call on a connection that was closed after the last answer would count as one that failed. Only that is mended
-    // here: to repeat a call that discovery has seen would double its load when it has most.
-    let mut stream = match kept.filter(Stream::quiet) {
+    // A call on a connection that was closed after the last response would count as a failure, so such a connection is not
+    // used. Nothing is repeated here beyond that: repeating a call that discovery has seen would double its load when it is
+    // busiest.
+    let mut stream = match idle.filter(Stream::quiet) {
         Some(stream) => stream,
-        None => platform.timeout(CONNECT, platform.connect(question.address)).await??,
+        None => platform.timeout(CONNECT_TIMEOUT, platform.connect(request.address)).await??,
     };
     send_promptly(&stream);
-    stream.write_all(&client::get(&question.target, "discovery")).await?;
+    stream.write_all(&client::get(&request.target, "discovery")).await?;
     Ok(stream)
 }
 
-/// Reads what has come; 0 at the end of the connection.
+/// Reads available bytes; 0 at the end of the stream.
 async fn read_some<S: Stream>(stream: &RefCell<S>, buffer: &mut BytesMut) -> io::Result<usize> {
     poll_fn(|context| {
         let mut stream = stream.borrow_mut();
@@ -173,64 +174,64 @@
     .await
 }
 
-/// The same; nothing once what the answer brings says nothing any more. Danger: that a receive buffer is empty does not show
-/// that all is read which discovery has written; the rest of a long list lies in its own buffer until this one has room.
-async fn read_told<S: Stream>(
+/// As [`read_some`], but `None` once the response is superseded. Until then the stream has to be read on, even if the receive
+/// buffer is empty: the rest of a long list stays in discovery's send buffer until this one has room.
+async fn read_unless_superseded<S: Stream>(
     stream: &RefCell<S>,
     buffer: &mut BytesMut,
-    abandonment: &Abandonment,
+    state: &SharedCallState,
 ) -> Option<io::Result<usize>> {
     tokio::select! {
         biased;
         read = read_some(stream, buffer) => Some(read),
-        () = abandonment.superseded() => None,
+        () = state.superseded() => None,
     }
 }
 
-/// Why an answer ended.
+/// How a response ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum End {
-    /// Its framing says so.
-    Whole,
-    /// It is no list.
-    Refused,
-    /// Not a byte of it came.
+    /// Complete according to its framing.
+    Complete,
+    /// The status says that it is not a list.
+    Rejected,
+    /// The connection ended before the first byte.
     Unreachable,
-    /// Its connection broke, or it cannot be read.
+    /// The connection broke, the list stalled for too long, or the response is malformed.
     Broken,
-    /// Nothing came in time.
-    Silent,
+    /// Nothing arrived in time.
+    TimedOut,
 }
 
-/// An answer that is arriving.
-struct Answer<'a, P: Platform, A: Arrivals> {
+/// A response that is arriving.
+struct Response<'a, P: Platform, A: ListObserver> {
     platform: &'a P,
-    /// Shared with those who ask whether anything on it is unread; borrowed for one call at a time.
+    /// Shared with [`DiscoveryConnections`], which checks it for unread input; never borrowed across an await.
     stream: Rc<RefCell<P::Stream>>,
     exchange: Exchange,
     list: ListReader,
-    /// When its first byte was read.
+    /// When the first byte was read.
     first_byte: Option<Instant>,
-    /// So many records have been handed on.
-    told: usize,
-    /// The head has come and says that this is a list.
+    /// Number of records reported to the observer.
+    reported: usize,
+    /// Whether the head has arrived with the status of a list.
     is_list: bool,
-    abandonment: &'a Abandonment,
-    arrivals: &'a mut A,
+    state: &'a SharedCallState,
+    observer: &'a mut A,
 }
 
-impl<P: Platform, A: Arrivals> Answer<'_, P, A> {
-    /// Reads the answer to its end; `until`: it begins by then.
+impl<P: Platform, A: ListObserver> Response<'_, P, A> {
+    /// Reads the response to its end. It has to begin by `until`.
     async fn receive(&mut self, until: Instant) -> End {
         let (mut ended, mut unyielded) = (false, 0);
         loop {
-            match self.look(ended) {
+            match self.process(ended) {
                 Ok(Some(end)) => return end,
                 Ok(None) if ended => return End::Broken,
                 Ok(None) => {}
                 Err(_) => return End::Broken,
             }
-            if unyielded >= YIELD_AFTER {
+            if unyielded >= YIELD_AFTER_BYTES {
                 unyielded = 0;
                 tokio::task::yield_now().await;
             }
@@ -245,110 +246,110 @@
         }
     }
 
-    /// More bytes; 0 at the end of the connection.
+    /// Reads more bytes; 0 at the end of the stream.
     async fn read(&mut self, until: Instant) -> Result<usize, End> {
         if !self.exchange.begun() {
-            let read = self.read_first(until).await.map_err(|_| End::Silent)?;
+            let read = self.read_first(until).await.map_err(|_| End::TimedOut)?;
             return read.map_err(|_| End::Unreachable);
         }
-        if let Ok(read) = self.read_by(self.platform.now() + STALLED).await {
-            self.arrivals.progressed();
+        if let Ok(read) = self.read_by(self.platform.now() + STALL_TIMEOUT).await {
+            self.observer.progressed();
             return read.map_err(|_| End::Broken);
         }
-        self.hand_on_arriving();
-        self.arrivals.stalled();
-        let read = self.read_by(self.platform.now() + GIVE_UP).await.map_err(|_| End::Broken)?;
+        self.report_partial_record();
+        self.observer.stalled();
+        let read = self.read_by(self.platform.now() + STALLED_LIST_TIMEOUT).await.map_err(|_| End::Broken)?;
         read.map_err(|_| End::Broken)
     }
 
-    /// The first bytes; of an answer that is not waited for any more, only if they were on their way.
+    /// Reads the first bytes. Once the call is abandoned, waits only for bytes that were already in transit.
     async fn read_first(&mut self, until: Instant) -> Result<io::Result<usize>, Elapsed> {
-        let abandonment = self.abandonment;
+        let state = self.state;
         tokio::select! {
             biased;
             read = self.read_by(until) => return read,
-            () = abandonment.abandoned() => {}
+            () = state.abandoned() => {}
         }
-        let until = until.min(self.platform.now() + ON_ITS_WAY);
+        let until = until.min(self.platform.now() + IN_TRANSIT);
         self.read_by(until).await
     }
 
-    /// More bytes, unless none have come by `until`, or they would say nothing any more.
+    /// Reads more bytes, unless none arrive by `until` or the response is superseded.
     async fn read_by(&mut self, until: Instant) -> Result<io::Result<usize>, Elapsed> {
-        let read = read_told(&self.stream, self.exchange.buffer(), self.abandonment);
+        let read = read_unless_superseded(&self.stream, self.exchange.buffer(), self.state);
         self.platform.timeout_at(until, read).await?.ok_or(Elapsed)
     }
 
-    /// Takes what has come; tells how the answer ended, if it has.
-    fn look(&mut self, ended: bool) -> Result<Option<End>, Fault> {
+    /// Processes the bytes that have arrived, and returns how the response ended, if it has.
+    fn process(&mut self, ended: bool) -> Result<Option<End>, Fault> {
         let at = self.platform.now();
         if !self.is_list {
-            let Some(answer) = self.exchange.step(ended)? else {
+            let Some(head) = self.exchange.step(ended)? else {
                 return Ok((ended && !self.exchange.begun()).then_some(End::Unreachable));
             };
-            if answer.status != OK {
-                return Ok(Some(End::Refused));
+            if head.status != OK {
+                return Ok(Some(End::Rejected));
             }
             self.is_list = true;
-            if !self.take(&answer.body, at) {
+            if !self.push(&head.body, at) {
                 return Ok(Some(End::Broken));
             }
-            if answer.bulk.is_none() {
-                return Ok(Some(End::Whole));
+            if head.bulk.is_none() {
+                return Ok(Some(End::Complete));
             }
         }
         loop {
             match self.exchange.piece(ended)? {
-                Piece::Bytes(bytes) if self.take(&bytes, at) => {}
+                Piece::Bytes(bytes) if self.push(&bytes, at) => {}
                 Piece::Bytes(_) => return Ok(Some(End::Broken)),
-                Piece::End => return Ok(Some(End::Whole)),
+                Piece::End => return Ok(Some(End::Complete)),
                 Piece::More => return Ok(None),
             }
         }
     }
 
-    /// Hands on the records that these bytes complete; tells whether more of the list can be read.
-    fn take(&mut self, bytes: &Bytes, at: Instant) -> bool {
+    /// Reports the records that these bytes complete, and returns whether reading can continue.
+    fn push(&mut self, bytes: &Bytes, at: Instant) -> bool {
         let readable = self.list.push(bytes).is_ok();
-        self.hand_on(at);
+        self.report_records(at);
         readable
     }
 
-    fn hand_on(&mut self, at: Instant) {
-        let arrived = &self.list.records()[self.told..];
+    fn report_records(&mut self, at: Instant) {
+        let arrived = &self.list.records()[self.reported..];
         if !arrived.is_empty() {
-            self.arrivals.arrived(arrived, self.list.version(), at);
-            self.told = self.list.records().len();
+            self.observer.arrived(arrived, self.list.version(), at);
+            self.reported = self.list.records().len();
         }
     }
 
-    /// Hands on what is known of the record that has come in part.
-    fn hand_on_arriving(&mut self) {
+    /// Reports the record that has arrived in part, if its fields suffice.
+    fn report_partial_record(&mut self) {
         if let Some(record) = self.list.partial_record() {
-            self.arrivals.arrived(&[record], self.list.version(), self.platform.now());
+            self.observer.arrived(&[record], self.list.version(), self.platform.now());
         }
     }
 
-    fn conclude(mut self, end: End) -> Ended<P> {
+    fn conclude(mut self, end: End) -> CallResult<P> {
         let first_byte = self.first_byte;
-        let ended = |outcome| Ended { outcome, stream: None, first_byte };
+        let ended = |outcome| CallResult { outcome, stream: None, first_byte };
         match end {
-            End::Refused => ended(Outcome::Refused),
+            End::Rejected => ended(Outcome::Rejected),
             End::Unreachable => ended(Outcome::Unreachable),
-            End::Silent => ended(Outcome::Silent),
-            // Nothing of the list is missing, even if the end of its framing is.
-            End::Whole | End::Broken if self.list.is_complete() => match self.list.finish() {
+            End::TimedOut => ended(Outcome::TimedOut),
+            // The list may be complete even if the end of its framing is missing.
+            End::Complete | End::Broken if self.list.is_complete() => match self.list.finish() {
                 Ok(list) => {
-                    let reusable = end == End::Whole && self.exchange.reusable();
+                    let reusable = end == End::Complete && self.exchange.reusable();
                     let stream = Rc::into_inner(self.stream).map(RefCell::into_inner);
                     let stream = stream.filter(|_| reusable);
-                    Ended { outcome: Outcome::Answered(list), stream, first_byte }
+                    CallResult { outcome: Outcome::Answered(list), stream, first_byte }
                 }
-                Err(error) => ended(Outcome::Broken(Some(error))),
+                Err(error) => ended(Outcome::Invalid(Some(error))),
             },
-            End::Whole | End::Broken => {
-                self.hand_on_arriving();
-                ended(Outcome::Broken(self.list.finish().err()))
+            End::Complete | End::Broken => {
+                self.report_partial_record();
+                ended(Outcome::Invalid(self.list.finish().err()))
             }
         }
     }
--- a/crates/sidecar/src/discovery/mod.rs
+++ b/crates/sidecar/src/discovery/mod.rs
@@ -1,10 +1,10 @@
-//! Calls to discovery: [`watch`] keeps the [`EndpointTable`] and the decision module up to date. [`schedule`] says when a
-//! call is made; each runs as a task of its own, hands on the records of its list as they arrive ([`arrivals`]) and reports
-//! how it ended.
+//! Calls to discovery. [`watch`] keeps the [`EndpointTable`] and the decision module up to date. [`schedule`] decides when a
+//! call is made. Each call runs as a separate task, which enters excluded endpoints as the records of its list arrive and
+//! reports its progress and result ([`call_reports`]).
 
-mod abandonment;
-mod arrivals;
 mod call;
+mod call_reports;
+mod call_state;
 mod retry_cycle;
 pub mod schedule;
 pub mod staleness;
@@ -15,9 +15,9 @@
 use crate::fleet::Fleet;
 use crate::lifecycle::Life;
 use crate::session::{Carrier, Host};
-use abandonment::{Abandonment, Standing};
-use arrivals::{Bars, Report};
-use call::{Ended, Outcome, Question};
+use call::{CallRequest, CallResult, Outcome};
+use call_reports::{CallReport, CallReporter};
+use call_state::{CallState, SharedCallState};
 use cometcroft::{Discovery, Event, ListScope, Settings};
 use cometcroft_platform::{Platform, Task};
 use schedule::{Call, CallId, Failure, Schedule, Time};
@@ -28,29 +28,29 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// With no call due the owner looks again after this time.
-const IDLE: Duration = Duration::from_secs(60);
+/// Maximum time between two checks of the schedule while no call is due.
+const IDLE_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Where and how discovery answers. A new configuration may move it while the sidecar runs.
+/// The address of discovery and how it delivers lists. A new configuration may change both while the sidecar runs.
 #[derive(Debug)]
 pub struct Source {
     address: Cell<SocketAddr>,
-    manner: Cell<Manner>,
+    delivery: Cell<Delivery>,
     moved: Notify,
 }
 
-/// How lists come by the settings.
+/// How lists are delivered according to the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Manner {
-    /// They are pushed to an agent at the address.
+struct Delivery {
+    /// Whether lists are pushed to an agent, which then listens at the address.
     pushed: bool,
-    /// The time within which they are to be asked for.
+    /// Maximum time between two calls.
     ask_within: Duration,
 }
 
-impl Manner {
-    fn of(settings: &Settings) -> Manner {
-        Manner {
+impl Delivery {
+    fn of(settings: &Settings) -> Delivery {
+        Delivery {
             pushed: settings.discovery == Discovery::Push,
             ask_within: settings.rules.resubscribe_within,
         }
@@ -58,30 +58,30 @@
 }
 
 impl Source {
-    /// Discovery at this address, asked as these settings say.
+    /// Creates a source with this address and the delivery of these settings.
     pub fn new(address: SocketAddr, settings: &Settings) -> Rc<Source> {
-        let manner = Cell::new(Manner::of(settings));
-        Rc::new(Source { address: Cell::new(address), manner, moved: Notify::new() })
+        let delivery = Cell::new(Delivery::of(settings));
+        Rc::new(Source { address: Cell::new(address), delivery, moved: Notify::new() })
     }
 
-    /// From now on discovery is to be asked here, and as these settings say.
+    /// Changes the address, and the delivery according to these settings.
     pub fn move_to(&self, address: SocketAddr, settings: &Settings) {
-        let manner = Manner::of(settings);
-        let changed = self.manner.replace(manner) != manner;
+        let delivery = Delivery::of(settings);
+        let changed = self.delivery.replace(delivery) != delivery;
         if self.address.replace(address) != address || changed {
             self.moved.notify_one();
         }
     }
 }
 
-/// Keeps the list of backend servers as discovery has it, whether lists are asked for or pushed to an agent, from
-/// version `index` on if a list is held. `seed` spreads calls. Runs until it is dropped.
+/// Keeps the endpoint list up to date, whether lists are polled or pushed to an agent, starting from `version` if a list is
+/// known. `seed` makes the calls of several sidecars differ. Runs until it is dropped.
 pub async fn watch<C: Carrier>(
     host: Rc<Host<C>>,
     endpoints: Rc<EndpointTable>,
     source: Rc<Source>,
     life: Rc<Life<C::Platform>>,
-    index: Option<i64>,
+    version: Option<i64>,
     seed: u64,
     fleet: Option<Rc<Fleet<C::Platform>>>,
 ) {
@@ -97,32 +97,32 @@
         life,
         fleet,
         schedule: Schedule::new(seed),
-        index,
-        held: index,
+        from_version: version,
+        current_version: version,
         idle: None,
         running: Vec::new(),
-        moved_away: Vec::new(),
-        logged: None,
+        calls_before_move: Vec::new(),
+        logged_error: None,
         last_failure: None,
         report,
     };
     watcher.run(reports).await;
 }
 
-/// A call in flight. Dropped, it ends, and its connection closes.
+/// A call in flight. Dropping it aborts the call and closes its connection, unless the call was abandoned.
 struct Running<T: Task> {
     id: CallId,
     began: Instant,
     task: Option<T>,
-    abandonment: Rc<Abandonment>,
+    state: Rc<SharedCallState>,
 }
 
 impl<T: Task> Running<T> {
-    /// Its answer is not waited for any more; it ends when what has come of that is read.
-    fn abandon(mut self, standing: Standing) -> Rc<Abandonment> {
-        self.abandonment.set(standing);
+    /// Stops waiting for the response. The task goes on until it has read what discovery has written.
+    fn abandon(mut self, state: CallState) -> Rc<SharedCallState> {
+        self.state.set(state);
         self.task = None;
-        self.abandonment.clone()
+        self.state.clone()
     }
 }
 
@@ -144,39 +144,40 @@
     life: Rc<Life<C::Platform>>,
     fleet: Option<Rc<Fleet<C::Platform>>>,
     schedule: Schedule,
-    /// The version that the next call asks for changes from; the whole list is asked for without one.
-    index: Option<i64>,
-    /// The version of the list that is held.
-    held: Option<i64>,
-    /// The connection of the last call, if it can be used again.
+    /// The version from which the next call requests changes; `None` to request the complete list.
+    from_version: Option<i64>,
+    /// The version of the current list.
+    current_version: Option<i64>,
+    /// The connection of the last call, if it can be reused.
     idle: Option<<C::Platform as Platform>::Stream>,
     running: Vec<Running<<C::Platform as Platform>::Task>>,
-    /// Calls that were in flight when discovery moved, until a list of its new address is taken.
-    moved_away: Vec<Rc<Abandonment>>,
-    /// What was last found wrong with a list, until one is taken.
-    logged: Option<ListError>,
-    /// How the last call failed, if it did.
+    /// Calls that were in flight when discovery moved, until a list of the new address is applied.
+    calls_before_move: Vec<Rc<SharedCallState>>,
+    /// The last logged error of a list, until a list is applied.
+    logged_error: Option<ListError>,
+    /// The failure of the last call, if it failed.
     last_failure: Option<Failure>,
-    report: UnboundedSender<Report<C::Platform>>,
+    report: UnboundedSender<CallReport<C::Platform>>,
 }
 
 impl<C: Carrier> Watcher<C> {
-    async fn run(mut self, mut reports: UnboundedReceiver<Report<C::Platform>>) {
+    async fn run(mut self, mut reports: UnboundedReceiver<CallReport<C::Platform>>) {
         let (source, endpoints) = (self.source.clone(), self.endpoints.clone());
-        endpoints.freshness().configure(source.manner.get().pushed);
-        self.tell_trust();
+        endpoints.freshness().configure(source.delivery.get().pushed);
+        self.notify_validity();
         loop {
             self.make_due_calls();
-            let next = self.schedule.next_at().map_or(self.platform.now() + IDLE, |at| self.origin + at);
+            let next =
+                self.schedule.next_at().map_or(self.platform.now() + IDLE_INTERVAL, |at| self.origin + at);
             tokio::select! {
                 biased;
-                () = source.moved.notified() => self.moved(),
+                () = source.moved.notified() => self.discovery_moved(),
                 () = endpoints.staleness().wait_until_suspected() => {
                     let now = self.now();
-                    tracing::debug!(version = self.held, "the list is suspected to be out of date");
+                    tracing::debug!(version = self.current_version, "endpoints reject requests; the endpoint list may be out of date");
                     self.schedule.suspect(now);
                 }
-                Some(report) = reports.recv() => self.reported(report),
+                Some(report) = reports.recv() => self.handle_report(report),
                 () = self.platform.sleep_until(next) => {}
             }
         }
@@ -187,105 +188,111 @@
     }
 
     fn make_due_calls(&mut self) {
-        let Manner { pushed, ask_within } = self.source.manner.get();
+        let Delivery { pushed, ask_within } = self.source.delivery.get();
         self.schedule.configure(pushed, ask_within);
-        while let Some(call) = self.schedule.poll(self.now(), self.index.is_none()) {
+        while let Some(call) = self.schedule.poll(self.now(), self.from_version.is_none()) {
             if let Some(replaced) = call.replaces {
                 count(&self.counters.discovery_silent);
                 if let Some(at) = self.running.iter().position(|running| running.id == replaced) {
-                    self.running.remove(at).abandon(Standing::Replaced);
+                    self.running.remove(at).abandon(CallState::Replaced);
                 }
             }
-            self.start(call);
+            self.start_call(call);
         }
     }
 
-    fn start(&mut self, call: Call) {
+    fn start_call(&mut self, call: Call) {
         let Call { id, hold, timeout, replaces } = call;
-        tracing::debug!(call = %id, from = self.index, ?hold, ?timeout, ?replaces, "discovery is called");
+        tracing::debug!(call = %id, from = self.from_version, ?hold, ?timeout, ?replaces, "calling discovery");
         count(&self.counters.discovery_calls);
-        let target = match self.index {
-            Some(index) => format!("/discovery/hosts?from={index}&hold_ms={}", hold.as_millis()),
+        let target = match self.from_version {
+            Some(version) => format!("/discovery/hosts?from={version}&hold_ms={}", hold.as_millis()),
             None => "/discovery/hosts".to_owned(),
         };
-        let question = Question { address: self.source.address.get(), target, timeout };
+        let request = CallRequest { address: self.source.address.get(), target, timeout };
         let (counters, endpoints, report) =
             (self.counters.clone(), self.endpoints.clone(), self.report.clone());
-        let abandonment = Rc::<Abandonment>::default();
-        let shared = abandonment.clone();
-        let mut bars =
-            Bars::new(id, self.platform.clone(), counters, endpoints.clone(), report, shared.clone());
+        let state = Rc::<SharedCallState>::default();
+        let shared = state.clone();
+        let mut reporter =
+            CallReporter::new(id, self.platform.clone(), counters, endpoints.clone(), report, shared.clone());
         let (platform, fleet) = (self.platform.clone(), self.fleet.clone());
-        let kept = self.idle.take();
+        let idle = self.idle.take();
         let task = self.platform.spawn(async move {
             if let Some(fleet) = &fleet {
                 fleet.calls().await;
             }
-            let ended =
-                call::make(&platform, kept, question, endpoints.discovery_connections(), &shared, &mut bars)
-                    .await;
-            bars.finish(ended);
+            let result = call::make(
+                &platform,
+                idle,
+                request,
+                endpoints.discovery_connections(),
+                &shared,
+                &mut reporter,
+            )
+            .await;
+            reporter.finish(result);
         });
-        self.running.push(Running { id, began: self.platform.now(), task: Some(task), abandonment });
+        self.running.push(Running { id, began: self.platform.now(), task: Some(task), state });
     }
 
-    fn reported(&mut self, report: Report<C::Platform>) {
+    fn handle_report(&mut self, report: CallReport<C::Platform>) {
         let now = self.now();
         match report {
-            Report::Progressed(id) => self.schedule.progressed(id, now),
-            Report::Stalled(id) => {
+            CallReport::Progressed(id) => self.schedule.progressed(id, now),
+            CallReport::Stalled(id) => {
                 count(&self.counters.discovery_stalled);
                 self.schedule.stalled(id, now);
             }
-            Report::Barred(entries) => {
+            CallReport::Excluded(entries) => {
                 self.host.tell(Event::EndpointList { scope: ListScope::Changes, entries })
             }
-            Report::Ended { id, ended, barred } => self.ended(id, ended, barred),
+            CallReport::Ended { id, result, excluded } => self.call_ended(id, result, excluded),
         }
     }
 
-    /// The old address goes silent soon, and its versions say nothing at the new one, which is asked for the whole list.
-    /// Calls in flight are abandoned: what has come of their answers still bars, until that list is taken.
-    fn moved(&mut self) {
-        let abandoned = self.running.drain(..).map(|running| running.abandon(Standing::Moved));
-        self.moved_away.extend(abandoned);
-        (self.idle, self.index, self.held) = (None, None, None);
+    /// Requests the complete list from the new address: the old one will soon stop responding, and its versions mean nothing at
+    /// the new one. Calls in flight are abandoned, but their responses still exclude endpoints until that list is applied.
+    fn discovery_moved(&mut self) {
+        let abandoned = self.running.drain(..).map(|running| running.abandon(CallState::Moved));
+        self.calls_before_move.extend(abandoned);
+        (self.idle, self.from_version, self.current_version) = (None, None, None);
         self.endpoints.forget_versions();
         let now = self.now();
         self.schedule.moved(now);
-        // Lists may be pushed from now on, or no more.
-        self.endpoints.freshness().configure(self.source.manner.get().pushed);
-        self.tell_trust();
+        // The delivery may have changed, too.
+        self.endpoints.freshness().configure(self.source.delivery.get().pushed);
+        self.notify_validity();
     }
 
-    fn ended(&mut self, id: CallId, ended: Ended<C::Platform>, barred: bool) {
-        // One that is abandoned may have reported just before.
+    fn call_ended(&mut self, id: CallId, result: CallResult<C::Platform>, excluded: bool) {
+        // A call that has been abandoned may have reported its end just before.
         let Some(at) = self.running.iter().position(|running| running.id == id) else { return };
         let began = self.running.remove(at).began;
-        let Ended { outcome, stream, first_byte } = ended;
+        let CallResult { outcome, stream, first_byte } = result;
         tracing::debug!(
             call = %id,
             %outcome,
             first_byte_ago = ?first_byte.map(|at| self.platform.since(at)),
-            barred,
+            excluded,
             "call to discovery ended"
         );
         let failure = match outcome {
             Outcome::Answered(list) => {
                 self.idle = stream.or(self.idle.take());
-                self.answered(id, list, barred)
+                self.apply_list(id, list, excluded)
             }
-            Outcome::Broken(error) => Some(self.broken(error)),
-            Outcome::Refused => {
+            Outcome::Invalid(error) => Some(self.record_invalid_list(error)),
+            Outcome::Rejected => {
                 count(&self.counters.discovery_failures);
                 Some(Failure::Rejected)
             }
-            Outcome::NobodyListens | Outcome::Unreachable => {
+            Outcome::NotListening | Outcome::Unreachable => {
                 count(&self.counters.discovery_failures);
                 Some(Failure::Unreachable)
             }
-            // The connection has fallen silent; another one may not.
-            Outcome::Silent => {
+            // The connection may be dead, so it is not reused; another one may work.
+            Outcome::TimedOut => {
                 count(&self.counters.discovery_silent);
                 Some(Failure::TimedOut)
             }
@@ -295,80 +302,83 @@
             freshness.record_confirmation(began);
         }
         freshness.record_call_end();
-        let holds = freshness.list_evidence(now).is_ok();
-        self.life.tell(|machine, _| machine.listed(!self.endpoints.is_empty(), holds));
-        self.tell_trust();
-        self.log_change_of_state(failure);
+        let is_valid = freshness.list_evidence(now).is_ok();
+        self.life.tell(|machine, _| machine.listed(!self.endpoints.is_empty(), is_valid));
+        self.notify_validity();
+        self.log_state_change(failure);
         if let Some(failure) = failure {
             let now = self.now();
             let corroborated =
                 self.endpoints.staleness().is_corroborated(self.endpoints.len(), self.platform.now());
-            self.schedule.observe(corroborated);
+            self.schedule.set_corroborated(corroborated);
             self.schedule.failed(id, failure, now);
         }
     }
 
-    /// Takes over the list of an answer; tells why if it cannot be taken. `barred`: what it bars was news when it arrived.
-    fn answered(&mut self, id: CallId, list: EndpointList, barred: bool) -> Option<Failure> {
-        let begun_anew = self.schedule.accepts_older() && self.held.is_some_and(|held| list.version < held);
-        if begun_anew {
+    /// Applies the list of a response, or returns why it can't be applied. `excluded` tells whether the list excluded endpoints
+    /// that were open while it arrived.
+    fn apply_list(&mut self, id: CallId, list: EndpointList, excluded: bool) -> Option<Failure> {
+        let versions_restarted =
+            self.schedule.accepts_older() && self.current_version.is_some_and(|held| list.version < held);
+        if versions_restarted {
             self.endpoints.forget_versions();
         }
-        let held = self.held.filter(|_| !begun_anew);
+        let held = self.current_version.filter(|_| !versions_restarted);
         self.endpoints.observe_clocks(self.host.now(), self.platform.unix());
         match self.endpoints.apply(list, held) {
-            ApplyResult::Applied(news) => {
+            ApplyResult::Applied(update) => {
                 self.endpoints.staleness().record_confirmation(self.platform.now());
-                (self.index, self.held) = (Some(news.version), Some(news.version));
-                let ListUpdate { version, scope, entries } = &news;
-                tracing::debug!(call = %id, version, ?scope, rows = entries.len(), "list is in force");
-                self.logged = None;
-                for moved_away in self.moved_away.drain(..) {
-                    moved_away.set(Standing::Superseded);
+                (self.from_version, self.current_version) = (Some(update.version), Some(update.version));
+                let ListUpdate { version, scope, entries } = &update;
+                tracing::debug!(call = %id, version, ?scope, entries = entries.len(), "endpoint list applied");
+                self.logged_error = None;
+                for call in self.calls_before_move.drain(..) {
+                    call.set(CallState::Superseded);
                 }
                 let now = self.now();
                 self.schedule.answered(id, now);
-                self.host.tell(Event::EndpointList { scope: news.scope, entries: news.entries });
+                self.host.tell(Event::EndpointList { scope: update.scope, entries: update.entries });
                 None
             }
             ApplyResult::Older => {
-                // Of two calls in flight either may be answered last. What it barred may be up in the list that is held.
+                // Two calls in flight may be answered in any order. An endpoint that this list excluded may be ready in the
+                // current one, so the complete list is requested again.
                 let overtaken = self.schedule.overtaken(id);
                 if !overtaken {
                     count(&self.counters.discovery_older);
                 }
-                if !overtaken || barred {
-                    self.index = None;
+                if !overtaken || excluded {
+                    self.from_version = None;
                 }
                 Some(Failure::Older)
             }
         }
     }
 
-    /// Tells the decision module how long the list may be used.
-    fn tell_trust(&self) {
-        let trust = self.endpoints.freshness().validity(self.platform.now());
-        self.host.tell(Event::ListValidity(trust));
+    /// Notifies the decision module how long the list is valid.
+    fn notify_validity(&self) {
+        let validity = self.endpoints.freshness().validity(self.platform.now());
+        self.host.tell(Event::ListValidity(validity));
     }
 
-    /// Logs that discovery answers again, or has ceased to.
-    fn log_change_of_state(&mut self, failure: Option<Failure>) {
+    /// Logs that discovery answers again or no longer answers.
+    fn log_state_change(&mut self, failure: Option<Failure>) {
         if std::mem::replace(&mut self.last_failure, failure) == failure {
             return;
         }
-        let (version, age) = (self.held, self.endpoints.confirmed_age(self.platform.now()));
+        let (version, age) = (self.current_version, self.endpoints.confirmed_age(self.platform.now()));
         match failure {
             None => tracing::info!(version, "discovery answers"),
             Some(failure) => tracing::info!(version, ?age, ?failure, "discovery does not answer"),
         }
     }
 
-    /// What came of the list binds; the rest is asked for.
-    fn broken(&mut self, error: Option<ListError>) -> Failure {
+    /// Counts and logs an invalid list. Its exclusions stay in effect, and the rest is requested again.
+    fn record_invalid_list(&mut self, error: Option<ListError>) -> Failure {
         count(&self.counters.discovery_bad);
-        if let Some(error) = error.filter(|error| Some(error) != self.logged.as_ref()) {
-            tracing::warn!(discovery = %self.source.address.get(), held = self.held, "list of endpoints: {error}");
-            self.logged = Some(error);
+        if let Some(error) = error.filter(|error| Some(error) != self.logged_error.as_ref()) {
+            tracing::warn!(discovery = %self.source.address.get(), version = self.current_version, "invalid endpoint list: {error}");
+            self.logged_error = Some(error);
         }
         Failure::Invalid
     }
--- a/crates/sidecar/src/discovery/staleness.rs
+++ b/crates/sidecar/src/discovery/staleness.rs
@@ -1,5 +1,5 @@
-//! Evidence on whether the list held is out of date: endpoints on it that turn requests away, as draining ones do, and
-//! endpoints that serve.
+//! Evidence from traffic on whether the current list is out of date: endpoints that reject requests, as draining ones do,
+//! speak against the list, and endpoints that serve requests speak for it.
 
 use cometcroft::EndpointId;
 use std::cell::{Cell, RefCell};
@@ -7,68 +7,69 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// A list is suspected once so many endpoints on it turn requests away. One alone may just have a full queue.
-const SUSPECTED_FROM: usize = 2;
-/// A list is borne out while so many endpoints on it have served lately, and it is not suspected: if a fifth of them drained,
-/// that would be seen with a probability of 93 %.
-const CORROBORATED_FROM: usize = 12;
-/// Of a long list so large a share of it, as fewer tell little of single endpoints that drain.
+/// Number of rejecting endpoints from which on the list is suspected to be out of date. A single one may just have a full
+/// queue.
+const SUSPECT_THRESHOLD: usize = 2;
+/// Number of endpoints that must have served recently for the list to count as corroborated by traffic. If a fifth of the
+/// endpoints drained, this many would show it with a probability of 93 %.
+const CORROBORATED_MIN: usize = 12;
+/// Share of a long list that must have served recently, as fewer endpoints would say little about single ones that drain.
 const CORROBORATED_SHARE: f64 = 0.05;
-/// How long ago that is at most.
-const LATELY: Duration = Duration::from_secs(3);
-/// Older answers are forgotten when so many are held.
-const HELD: usize = 256;
+/// Maximum age of a response that counts as recent.
+const RECENT: Duration = Duration::from_secs(3);
+/// Number of recorded responses from which on old ones are pruned.
+const PRUNE_THRESHOLD: usize = 256;
 
-/// What endpoints have answered since discovery last confirmed the list.
+/// Endpoints by their latest responses. Rejections are forgotten when discovery confirms the list.
 #[derive(Debug, Default)]
 pub struct Staleness {
-    /// Those whose last answer turned a request away.
-    turned_away: RefCell<HashSet<EndpointId>>,
-    /// When the others last served.
+    /// Endpoints whose latest response was a rejection.
+    rejecting: RefCell<HashSet<EndpointId>>,
+    /// When each of the other endpoints last served a request.
     served: RefCell<HashMap<EndpointId, Instant>>,
     confirmed: Cell<Option<Instant>>,
     suspected: Notify,
 }
 
 impl Staleness {
-    /// An endpoint has answered a request, or has turned it away.
-    pub fn record_response(&self, endpoint: EndpointId, turned_away: bool, now: Instant) {
-        let mut endpoints = self.turned_away.borrow_mut();
-        if !turned_away {
-            endpoints.remove(&endpoint);
-            self.serves(endpoint, now);
+    /// Records an endpoint's response to a request.
+    pub fn record_response(&self, endpoint: EndpointId, rejected: bool, now: Instant) {
+        let mut rejecting = self.rejecting.borrow_mut();
+        if !rejected {
+            rejecting.remove(&endpoint);
+            self.record_served(endpoint, now);
             return;
         }
-        endpoints.insert(endpoint);
+        rejecting.insert(endpoint);
         self.served.borrow_mut().remove(&endpoint);
-        if endpoints.len() >= SUSPECTED_FROM {
+        if rejecting.len() >= SUSPECT_THRESHOLD {
             self.suspected.notify_one();
         }
     }
 
-    fn serves(&self, endpoint: EndpointId, now: Instant) {
+    fn record_served(&self, endpoint: EndpointId, now: Instant) {
         let mut served = self.served.borrow_mut();
-        if served.len() >= HELD {
-            served.retain(|_, at| now.saturating_duration_since(*at) <= LATELY);
+        if served.len() >= PRUNE_THRESHOLD {
+            served.retain(|_, at| now.saturating_duration_since(*at) <= RECENT);
         }
         served.insert(endpoint, now);
     }
 
-    /// Whether a list of so many endpoints is borne out by those that serve.
+    /// Whether a list of `listed` endpoints is corroborated by those that have recently served requests.
     pub fn is_corroborated(&self, listed: usize, now: Instant) -> bool {
         let served = self.served.borrow();
-        let lately = served.values().filter(|at| now.saturating_duration_since(**at) <= LATELY).count();
-        let enough = CORROBORATED_FROM.max((listed as f64 * CORROBORATED_SHARE).ceil() as usize);
-        lately >= enough && self.turned_away.borrow().len() < SUSPECTED_FROM
+        let recent = served.values().filter(|at| now.saturating_duration_since(**at) <= RECENT).count();
+        let enough = CORROBORATED_MIN.max((listed as f64 * CORROBORATED_SHARE).ceil() as usize);
+        recent >= enough && self.rejecting.borrow().len() < SUSPECT_THRESHOLD
     }
 
-    /// Discovery has confirmed the list.
+    /// Records that discovery has confirmed the list.
     pub fn record_confirmation(&self, now: Instant) {
-        self.turned_away.borrow_mut().clear();
+        self.rejecting.borrow_mut().clear();
         self.confirmed.set(Some(now));
     }
 
-    /// When discovery last confirmed the list, if it has since the start.
+    /// When discovery last confirmed the list; `None` if it has not since the start.
     pub fn confirmed_at(&self) -> Option<Instant> {
         self.confirmed.get()
     }
--- a/crates/sidecar/src/discovery_connections.rs
+++ b/crates/sidecar/src/discovery_connections.rs
@@ -1,13 +1,14 @@
-//! DiscoveryConnections of discovery that have come to this process and that nobody has read yet: nothing may begin before they are read.
+//! Detects notifications of discovery that have arrived at this process but have not been read yet. No request may begin
+//! before they are read.
 
 use cometcroft_platform::Stream;
 use std::cell::RefCell;
 use std::fmt;
 use std::rc::{Rc, Weak};
 
-/// A connection on which a list may arrive.
+/// A connection that can tell whether it has unread input.
 pub trait Unread {
-    /// Bytes, or its end, have come and were not read.
+    /// Whether bytes, or the end of the stream, have arrived and were not read.
     fn has_unread(&self) -> bool;
 }
 
@@ -17,14 +18,14 @@
     }
 }
 
-/// The connections on which lists may arrive.
+/// The connections on which discovery may deliver lists.
 #[derive(Default)]
 pub struct DiscoveryConnections {
     connections: RefCell<Vec<Weak<dyn Unread>>>,
 }
 
 impl DiscoveryConnections {
-    /// A list may arrive on this connection, until it is dropped.
+    /// Adds a connection. It is removed once it has been dropped.
     pub fn add<S: Stream>(&self, connection: &Rc<RefCell<S>>) {
         let mut connections = self.connections.borrow_mut();
         connections.retain(|connection| connection.strong_count() > 0);
@@ -32,7 +33,7 @@
         connections.push(Rc::downgrade(&connection));
     }
 
-    /// Something has come that nobody has read, as the sockets themselves tell now.
+    /// Whether any connection has unread input, according to the sockets themselves.
     pub fn any_unread(&self) -> bool {
         let connections = self.connections.borrow();
         connections.iter().filter_map(Weak::upgrade).any(|connection| connection.has_unread())
--- a/crates/sidecar/src/endpoint_list/mod.rs
+++ b/crates/sidecar/src/endpoint_list/mod.rs
@@ -1,5 +1,5 @@
-//! Lists of endpoints as discovery writes them: the records, and a reader that yields each record as soon as its bytes
-//! have arrived. No I/O.
+//! The format of discovery's endpoint lists: the records, and an incremental reader that yields each record as soon as its
+//! bytes have arrived. No I/O.
 
 mod reader;
 mod record;
@@ -9,19 +9,19 @@
 
 use serde_json::Value;
 
-/// A list that has arrived whole.
+/// An endpoint list that has arrived completely.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointList {
-    /// Its version.
+    /// The list's version (`index` in JSON).
     pub version: i64,
-    /// It names all endpoints, not only those that changed.
+    /// Whether the list names all endpoints (`snapshot` in JSON) or only those that changed.
     pub is_complete: bool,
-    /// Its records, in their order; no name stands twice.
+    /// The records in their original order, with distinct names.
     pub records: Vec<EndpointRecord>,
 }
 
 impl EndpointList {
-    /// Reads a list that is held as a JSON value.
+    /// Reads a list from a JSON value.
     pub fn from_value(list: &Value) -> Result<EndpointList, ListError> {
         let mut reader = ListReader::default();
         reader.push(list.to_string().as_bytes())?;
--- a/crates/sidecar/src/endpoint_list/reader.rs
+++ b/crates/sidecar/src/endpoint_list/reader.rs
@@ -1,5 +1,5 @@
-//! Reads a list while it arrives. A record is available as soon as its last byte has been pushed, whatever becomes of the
-//! rest; memory beyond the records is bounded by [`MAX_PENDING_BYTES`].
+//! An incremental reader of endpoint lists. A record is available as soon as its last byte has been pushed, whatever happens
+//! to the rest of the list. Beyond the records, memory is bounded by [`MAX_PENDING_BYTES`].
 
 use super::EndpointList;
 use super::record::{EndpointRecord, RawRecord, RecordError};
@@ -10,47 +10,47 @@
 use std::collections::HashSet;
 use thiserror::Error;
 
-/// The most bytes that one record, or one value beside the records, may take.
+/// Maximum length of one record, or of one value outside the records.
 pub const MAX_PENDING_BYTES: usize = 16 * 1024;
 
-/// Why a list cannot be taken.
+/// Why a list is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ListError {
-    /// It is not JSON in discovery's form.
-    #[error("is not JSON of the expected form behind record {records}")]
+    /// The list is not JSON, or not an object of the expected form.
+    #[error("is not JSON of the expected form after {records} records")]
     Syntax {
-        /// Records that came before.
+        /// Number of records read before the error.
         records: usize,
     },
     /// A record or a value is longer than [`MAX_PENDING_BYTES`].
-    #[error("holds a value of over {MAX_PENDING_BYTES} bytes behind record {records}")]
+    #[error("has a value longer than {MAX_PENDING_BYTES} bytes after {records} records")]
     TooLong {
-        /// Records that came before.
+        /// Number of records read before the error.
         records: usize,
     },
-    /// A record cannot be taken.
+    /// A record is invalid.
     #[error("record {position} {error}")]
     Record {
-        /// Its position, counted from 0.
+        /// The record's position, counted from 0.
         position: usize,
-        /// What is wrong with it.
+        /// Why it is invalid.
         error: RecordError,
     },
-    /// Two records have one name.
+    /// Two records have the same name.
     #[error("names {0:?} twice")]
     RepeatedName(String),
-    /// It ended early.
-    #[error("ends behind record {records}")]
+    /// The list ended prematurely.
+    #[error("ends prematurely after {records} records")]
     Unfinished {
-        /// Records that came before.
+        /// Number of records read before the error.
         records: usize,
     },
-    /// A field is missing.
+    /// A required field is missing.
     #[error("has no `{0}`")]
     Missing(&'static str),
 }
 
-/// A field of the list itself.
+/// A field of the list object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Field {
     Index,
@@ -59,7 +59,7 @@
     Other,
 }
 
-/// What is expected next.
+/// The reader's state: the next expected token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Expected {
     Start,
@@ -74,35 +74,35 @@
     End,
 }
 
-/// What a look at the pending bytes brought.
+/// The result of one step over the pending bytes.
 enum Step {
-    /// Something was consumed.
+    /// The step made progress.
     Advanced,
     /// More bytes are needed.
     Wait,
 }
 
-/// A record, or what is wrong with it, and its length in bytes.
+/// A record, or why it is invalid, and its length in bytes.
 type ParsedRecord = (Result<EndpointRecord, RecordError>, usize);
 
-/// Reads one list.
+/// Reads one list incrementally.
 #[derive(Debug)]
 pub struct ListReader {
     pending: Vec<u8>,
-    /// So many of the pending bytes are consumed.
+    /// Number of pending bytes that are already consumed.
     consumed: usize,
-    /// So many of the pending bytes hold no end of a record that was not looked at.
+    /// Number of pending bytes that were already searched for the end of a record.
     searched: usize,
     expected: Expected,
     version: Option<i64>,
     is_complete: Option<bool>,
-    listed: bool,
+    has_endpoints: bool,
     records: Vec<EndpointRecord>,
-    /// Records that were read, taken or not.
+    /// Number of records read, valid or not.
     position: usize,
-    /// The first record that cannot be taken.
+    /// The error of the first invalid record.
     bad_record: Option<ListError>,
-    /// Why reading stopped.
+    /// The error that ended reading.
     stopped: Option<ListError>,
     parsed: u64,
 }
@@ -116,7 +116,7 @@
             expected: Expected::Start,
             version: None,
             is_complete: None,
-            listed: false,
+            has_endpoints: false,
             records: Vec::new(),
             position: 0,
             bad_record: None,
@@ -127,7 +127,7 @@
 }
 
 impl ListReader {
-    /// Takes the next bytes of the list. After an error nothing more is read; the records before it stay.
+    /// Reads the next bytes of the list. After an error no further bytes are read, but the records before it stay available.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), ListError> {
         if let Some(error) = &self.stopped {
             return Err(error.clone());
@@ -147,7 +147,7 @@
         result
     }
 
-    /// The records that have arrived whole and can be taken.
+    /// The valid records that have arrived completely.
     pub fn records(&self) -> &[EndpointRecord] {
         &self.records
     }
@@ -157,30 +157,30 @@
         self.version
     }
 
-    /// Nothing of the list is missing.
+    /// Whether the list has arrived completely.
     pub fn is_complete(&self) -> bool {
         self.expected == Expected::End && self.stopped.is_none()
     }
 
-    /// How many bytes were given to the parser: a measure of the work done.
+    /// Number of bytes passed to the JSON parser so far, as a measure of the work done.
     pub fn parsed_bytes(&self) -> u64 {
         self.parsed
     }
 
-    /// The record that is arriving, as far as it has come, if its fields that came whole are enough. Of a list that pauses or
-    /// has broken off, what it bars binds.
+    /// The record that has arrived in part, if its complete fields suffice for a valid record. If the list has paused or was
+    /// truncated, an exclusion in that record has to take effect all the same.
     pub fn partial_record(&self) -> Option<EndpointRecord> {
         let in_record = matches!(self.expected, Expected::FirstRecord | Expected::Record);
         let pending = self.pending.trim_ascii_start();
         if !in_record || self.stopped.is_some() || !pending.starts_with(b"{") {
             return None;
         }
-        // All of its fields, if the last one came whole too, else all before it.
+        // With the last field if that is complete too, otherwise without it.
         let before = pending.iter().rposition(|&byte| byte == b',').unwrap_or(0);
         closed_record(pending).or_else(|| closed_record(&pending[..before]))
     }
 
-    /// The whole list.
+    /// Returns the complete list, or why it is invalid.
     pub fn finish(self) -> Result<EndpointList, ListError> {
         if let Some(error) = self.stopped.or(self.bad_record) {
             return Err(error);
@@ -190,7 +190,7 @@
         }
         let version = self.version.ok_or(ListError::Missing("index"))?;
         let is_complete = self.is_complete.ok_or(ListError::Missing("snapshot"))?;
-        if !self.listed {
+        if !self.has_endpoints {
             return Err(ListError::Missing("endpoints"));
         }
         let mut names = HashSet::with_capacity(self.records.len());
@@ -214,7 +214,7 @@
             Expected::FirstKey | Expected::Key => self.key(),
             Expected::Colon(field) => self.punctuation(next, &[(b':', Expected::Value(field))]),
             Expected::Value(Field::Endpoints) => {
-                self.listed = true;
+                self.has_endpoints = true;
                 self.punctuation(next, &[(b'[', Expected::FirstRecord)])
             }
             Expected::Value(field) => self.value(field),
@@ -255,7 +255,7 @@
         let repeated = match field {
             Field::Index => self.version.is_some(),
             Field::Snapshot => self.is_complete.is_some(),
-            Field::Endpoints => self.listed,
+            Field::Endpoints => self.has_endpoints,
             Field::Other => false,
         };
         if repeated {
@@ -288,8 +288,8 @@
         Ok(Step::Advanced)
     }
 
-    /// The value that begins here and its length; `None` until it has arrived whole, with a byte behind it that shows its
-    /// end.
+    /// Parses the next value and returns it with its length; `None` until it has arrived completely, followed by a byte that
+    /// shows where it ends.
     fn parse<'a, T: Deserialize<'a>>(&'a mut self) -> Result<Option<(T, usize)>, ListError> {
         let rest = &self.pending[self.consumed..];
         self.parsed += rest.len() as u64;
@@ -302,7 +302,8 @@
         }
     }
 
-    /// A record ends with a brace, so nothing is parsed until another one has arrived.
+    /// Reads the next record. A record ends with a brace, so nothing is parsed until another one has arrived; otherwise each
+    /// piece of a record would be parsed again.
     fn record(&mut self) -> Result<Step, ListError> {
         let from = self.searched.max(self.consumed);
         let Some(brace) = self.pending[from..].iter().position(|&byte| byte == b'}') else {
@@ -313,22 +314,22 @@
         let (record, length) = match self.parse_record(end)? {
             Some(parsed) => parsed,
             None => {
-                // The brace stands in a string or ends an inner value.
+                // The brace is part of a string or ends an inner value.
                 self.searched = end;
                 return Ok(Step::Advanced);
             }
         };
         self.consumed += length;
         self.expected = Expected::AfterRecord;
-        self.take(record);
+        self.add(record);
         Ok(Step::Advanced)
     }
 
-    /// The record that ends with this byte, and its length; `None` if it goes on behind it.
+    /// Parses the pending record, provided that it ends before `end`; `None` if it continues beyond that.
     fn parse_record(&mut self, end: usize) -> Result<Option<ParsedRecord>, ListError> {
         let bytes = &self.pending[self.consumed..end];
         self.parsed += bytes.len() as u64;
-        // An array would be read as the fields in their order.
+        // Serde would accept an array as the fields in their order.
         if !bytes.starts_with(b"{") {
             return self.skip_record();
         }
@@ -341,7 +342,7 @@
         }
     }
 
-    /// Passes over a value that is no record.
+    /// Skips a value that is not a valid record object.
     fn skip_record(&self) -> Result<Option<ParsedRecord>, ListError> {
         let mut values = Deserializer::from_slice(&self.pending[self.consumed..]).into_iter::<IgnoredAny>();
         match values.next() {
@@ -351,7 +352,7 @@
         }
     }
 
-    fn take(&mut self, record: Result<EndpointRecord, RecordError>) {
+    fn add(&mut self, record: Result<EndpointRecord, RecordError>) {
         match record {
             Ok(record) => self.records.push(record),
             Err(error) => {
@@ -363,7 +364,7 @@
     }
 }
 
-/// The record that these bytes are once they are closed.
+/// Parses the record that these bytes form with a closing brace appended.
 fn closed_record(bytes: &[u8]) -> Option<EndpointRecord> {
     let closed = [bytes, b"}"].concat();
     let raw: RawRecord<'_> = serde_json::from_slice(&closed).ok()?;
--- a/crates/sidecar/src/endpoint_list/record.rs
+++ b/crates/sidecar/src/endpoint_list/record.rs
@@ -1,4 +1,4 @@
-//! One record of a list: an endpoint, where it is and what discovery says of it.
+//! A record of an endpoint list: an endpoint's address, state and attributes.
 
 use cometcroft::EndpointState;
 use serde::{Deserialize, Deserializer};
@@ -10,47 +10,47 @@
 /// An endpoint as discovery lists it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointRecord {
-    /// The same at every sidecar.
+    /// The endpoint's name, which identifies it at every sidecar.
     pub name: String,
-    /// Where it listens; may be missing where nothing new may be sent there anyway.
+    /// The address the endpoint listens on. Always present if the endpoint is ready.
     pub address: Option<SocketAddr>,
-    /// Whether it takes new requests.
+    /// Whether the endpoint is ready, drains or was removed.
     pub state: EndpointState,
-    /// The name of its zone.
+    /// The name of the endpoint's zone.
     pub zone: Option<String>,
-    /// Its group of servers.
+    /// The endpoint's group.
     pub group: usize,
-    /// Its registered size.
+    /// The endpoint's registered capacity weight.
     pub weight: f64,
-    /// When it last started, as Unix time in milliseconds; 0 is long ago.
+    /// When the endpoint last started, as Unix time in milliseconds; 0 stands for long ago.
     pub since_ms: i64,
 }
 
 impl EndpointRecord {
-    /// Nothing new may be sent there.
+    /// Whether the endpoint must get no new requests, because it drains or was removed.
     pub fn is_excluded(&self) -> bool {
         self.state != EndpointState::Ready
     }
 }
 
-/// Why a record cannot be taken.
+/// Why a record is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RecordError {
-    /// It is no JSON object, or one of its fields has another type or stands twice.
-    #[error("is not an object of the expected fields")]
+    /// The record is not a JSON object, a required field has the wrong type, or a field is repeated.
+    #[error("is not an object with the expected fields")]
     Shape,
-    /// It has no name.
+    /// The name is missing.
     #[error("has no `name`")]
     Name,
-    /// Its status is missing or unknown.
-    #[error("has a `status` other than up, draining and removed")]
+    /// The status is missing or unknown.
+    #[error("has a `status` other than up, draining or removed")]
     Status,
-    /// It is up, and has no address that can be read.
+    /// The status is `up`, but the address is missing or malformed.
     #[error("has no `address` of the form IP:PORT")]
     Address,
 }
 
-/// A record as it stands in JSON. Fields that are of no use without their type count as missing.
+/// A record as in JSON. Optional fields of the wrong type count as missing.
 #[derive(Deserialize)]
 pub(super) struct RawRecord<'a> {
     #[serde(borrow, default)]
--- a/crates/sidecar/src/endpoint_table.rs
+++ b/crates/sidecar/src/endpoint_table.rs
@@ -1,8 +1,8 @@
-//! The directory: the list of backend servers as last told, where they are and which of them drain. No I/O.
+//! The table of endpoints that discovery has listed, with their addresses and states. No I/O.
 //!
-//! Invariant: from the instant at which the bytes of a record have arrived that bars a backend server, nothing begins there.
-//! Records that bar are taken one by one as they arrive ([`EndpointTable::exclude`]); what opens a backend server is taken with its
-//! whole list alone ([`EndpointTable::apply`]).
+//! Invariant: once the bytes of a record that excludes an endpoint (one that drains or was removed) have arrived, no request
+//! begins there. Such records take effect one by one as they arrive ([`EndpointTable::exclude`]). Records that open an
+//! endpoint take effect only with their complete list ([`EndpointTable::apply`]).
 
 use crate::discovery::staleness::Staleness;
 use crate::discovery_connections::DiscoveryConnections;
@@ -20,13 +20,12 @@
 #[derive(Debug)]
 struct Entry {
     address: SocketAddr,
-    /// When it started, as discovery told it.
+    /// Start time according to discovery, as Unix time in milliseconds.
     since_ms: i64,
-    /// As discovery told it.
+    /// The entry according to discovery, without the plan's adjustment.
     listed: EndpointEntry,
-    /// What the fleet's plan says of it.
     adjustment: WeightAdjustment,
-    /// When the last request began that it took since it started.
+    /// When the latest request that the endpoint has accepted since its start began.
     accepted: Option<Instant>,
 }
 
@@ -36,21 +35,22 @@
     }
 }
 
-/// What the fleet's plan says of a backend server, by name, zone and group.
+/// Looks up the plan's adjustment for the endpoint with this name, zone and group.
 pub type WeightAdjuster = Box<dyn Fn(&str, &str, usize) -> WeightAdjustment>;
 
-/// Where the backend servers are and which of them take nothing new. Told by discovery; the fleet's plan, if there is
-/// one, may bar what discovery lists, and never the other way.
+/// The known endpoints, their addresses and whether they accept new requests. The entries come from discovery; the fleet's
+/// plan, if there is one, may exclude endpoints that discovery lists as ready, but never opens one that discovery excludes.
 pub struct EndpointTable {
     adjuster: RefCell<Option<WeightAdjuster>>,
     entries: RefCell<BTreeMap<EndpointId, Entry>>,
     ids: RefCell<HashMap<String, EndpointId>>,
-    /// Backend servers that a list barred which has not been taken yet, by name, with its version: an older list does not
+    /// Endpoints excluded by a list that has not been applied yet, by name, with that list's version. An older list does not
     /// open them.
     excluded_by_newer: RefCell<HashMap<String, i64>>,
-    /// The version of the list that is held.
+    /// The version of the current list.
     version: Cell<Option<i64>>,
-    /// The next id. Danger: what is still out to one that is gone would be taken for its successor's.
+    /// The next id. Ids are never reused: otherwise attempts still in flight at a removed endpoint would be attributed to
+    /// its successor.
     next_id: Cell<u32>,
     zones: RefCell<Vec<String>>,
     staleness: Staleness,
@@ -59,38 +59,38 @@
     start_clock: StartClock,
 }
 
-/// A change of the endpoint list, as the module takes it.
+/// A change of the endpoint list, in the decision module's types.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListUpdate {
-    /// The version.
+    /// The list's version.
     pub version: i64,
-    /// All entries, or only those that changed.
+    /// Whether `entries` is the complete list or only the changes.
     pub scope: ListScope,
-    /// The entries.
+    /// The entries, with the plan's adjustments.
     pub entries: Vec<EndpointEntry>,
 }
 
-/// What came of a list.
+/// The result of [`EndpointTable::apply`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum ApplyResult {
-    /// It was taken.
+    /// The list is in force.
     Applied(ListUpdate),
-    /// It is older than the one held: nothing was taken of it but what it barred as it arrived.
+    /// The list is older than the current one and was ignored, apart from the endpoints it excluded while it arrived.
     Older,
 }
 
 impl ApplyResult {
-    /// The news, if it was taken.
+    /// The update, if the list was applied.
     pub fn update(self) -> Option<ListUpdate> {
         match self {
-            ApplyResult::Applied(news) => Some(news),
+            ApplyResult::Applied(update) => Some(update),
             _ => None,
         }
     }
 }
 
 impl EndpointTable {
-    /// An empty directory. The module's clock at this moment is `origin`, and `unix` is the time since the Unix epoch.
+    /// Creates an empty table. `origin` is the current time of the decision module's clock, `unix` the current Unix time.
     pub fn new(zones: Vec<String>, origin: Time, unix: Duration) -> EndpointTable {
         EndpointTable {
             adjuster: RefCell::new(None),
@@ -107,108 +107,109 @@
         }
     }
 
-    /// New settings.
+    /// Sets the names of the zones after a change of the settings.
     pub fn set_zones(&self, zones: Vec<String>) {
         self.zones.replace(zones);
     }
 
-    /// Compares the module's clock with the wall clock, by which starts are told.
+    /// Compares the decision module's clock with the wall clock, in which discovery states start times.
     pub fn observe_clocks(&self, now: Time, unix: Duration) {
         self.start_clock.observe(now, unix);
     }
 
-    /// No backend server is named.
+    /// Whether no endpoint is known.
     pub fn is_empty(&self) -> bool {
         self.entries.borrow().is_empty()
     }
 
-    /// How many backend servers are named.
+    /// The number of known endpoints.
     pub fn len(&self) -> usize {
         self.entries.borrow().len()
     }
 
-    /// The present address of a backend server.
+    /// The endpoint's current address.
     pub fn address(&self, id: EndpointId) -> Option<SocketAddr> {
         self.entries.borrow().get(&id).map(|e| e.address)
     }
 
-    /// Evidence that what is named is out of date.
+    /// Evidence on whether the list is out of date.
     pub fn staleness(&self) -> &Staleness {
         &self.staleness
     }
 
-    /// How long the list may be used.
+    /// How long the list stays valid.
     pub fn freshness(&self) -> &Freshness {
         &self.freshness
     }
 
-    /// What shows that a request may begin at this backend server, if it is listed as ready.
+    /// Evidence that a request may begin at this endpoint, provided that it is listed as ready.
     pub fn evidence(&self, id: EndpointId, now: Instant) -> Result<Evidence, NoEvidence> {
         let accepted = self.entries.borrow().get(&id).and_then(|entry| entry.accepted);
         self.freshness.evidence(accepted, now)
     }
 
-    /// A backend server has answered a request that began at `began`, or has turned it away.
-    pub fn record_response(&self, id: EndpointId, began: Instant, turned_away: bool, now: Instant) {
-        self.staleness.record_response(id, turned_away, now);
+    /// Records that the endpoint responded to a request that began at `began`.
+    pub fn record_response(&self, id: EndpointId, began: Instant, rejected: bool, now: Instant) {
+        self.staleness.record_response(id, rejected, now);
         if let Some(entry) = self.entries.borrow_mut().get_mut(&id) {
             let accepted = entry.accepted.map_or(began, |accepted| accepted.max(began));
-            entry.accepted = (!turned_away).then_some(accepted);
+            entry.accepted = (!rejected).then_some(accepted);
         }
     }
 
-    /// The version of the list that is held.
+    /// The version of the current list.
     pub fn version(&self) -> Option<i64> {
         self.version.get()
     }
 
-    /// The time since discovery confirmed the list that is held, if it has since the start.
+    /// The time since discovery last confirmed the current list; `None` if it has not since the start.
     pub fn confirmed_age(&self, now: Instant) -> Option<Duration> {
         self.staleness.confirmed_at().map(|at| now.saturating_duration_since(at))
     }
 
-    /// What has come of discovery and was not read.
+    /// The connections on which unread notifications of discovery may be waiting.
     pub fn discovery_connections(&self) -> &DiscoveryConnections {
         &self.discovery_connections
     }
 
-    /// Whether a request may be begun there.
+    /// Whether the endpoint accepts new requests.
     pub fn is_open(&self, id: EndpointId) -> bool {
         self.entries.borrow().get(&id).is_some_and(Entry::is_open)
     }
 
-    /// Whether a request may be begun there over a connection to this address.
+    /// Whether the endpoint accepts new requests and is still at this address.
     pub fn is_open_at(&self, id: EndpointId, address: SocketAddr) -> bool {
         self.entries.borrow().get(&id).is_some_and(|entry| entry.is_open() && entry.address == address)
     }
 
-    /// Versions begin anew: those of lists that came before say nothing any more.
+    /// Forgets the versions seen so far. Called when discovery's numbering starts over and they can't be compared any more.
     pub fn forget_versions(&self) {
         self.excluded_by_newer.borrow_mut().clear();
         self.version.set(None);
     }
 
-    /// Takes over a list, unless it is older than the version `held`; with none held, any list is taken. It does not open what
-    /// a later version has barred.
+    /// Applies a list, unless its version is lower than `held`; without `held`, any list is applied. Endpoints that a newer
+    /// list has excluded stay closed.
     pub fn apply(&self, list: EndpointList, held: Option<i64>) -> ApplyResult {
         let EndpointList { version, is_complete, records } = list;
-        // Danger: an answer that was held up, or a copy of discovery that lags, would un-bar what drains since then. What it
-        // bars is in force since its records came.
+        // A delayed response, or one of a discovery replica that lags, would reopen endpoints that have begun to drain since.
+        // The endpoints that it excludes have been excluded since its records arrived.
         if held.is_some_and(|held| version < held) {
             return ApplyResult::Older;
         }
-        self.excluded_by_newer.borrow_mut().retain(|_, barred| *barred > version);
+        self.excluded_by_newer.borrow_mut().retain(|_, excluded_by| *excluded_by > version);
         self.version.set(Some(version));
-        let entries = self.book(&records, is_complete);
+        let entries = self.apply_records(&records, is_complete);
         let scope = if is_complete { ListScope::Complete } else { ListScope::Changes };
         ApplyResult::Applied(ListUpdate { version, scope, entries })
     }
 
-    /// Of these records, takes only what bars a backend server that is known and open, and hands it on. They belong to a
-    /// list of this version, if that is known, of which more may come; until it is taken, an older list opens none of them.
+    /// Excludes the endpoints that these records exclude and returns the entries that changed; other records are ignored. The
+    /// records belong to a list of version `version` (if known yet) that may still be arriving. Until that list is applied, an
+    /// older one opens none of these endpoints.
     pub fn exclude(&self, records: &[EndpointRecord], version: Option<i64>) -> Vec<EndpointEntry> {
-        let barring: Vec<&EndpointRecord> = records.iter().filter(|record| record.is_excluded()).collect();
-        self.note_exclusions(&barring, version);
+        let excluding: Vec<&EndpointRecord> = records.iter().filter(|record| record.is_excluded()).collect();
+        self.remember_exclusions(&excluding, version);
         let open: Vec<EndpointRecord> = {
             let (ids, entries) = (self.ids.borrow(), self.entries.borrow());
             let is_open = |record: &&&EndpointRecord| {
@@ -217,17 +218,17 @@
                     entry.listed.state == EndpointState::Ready || record.state == EndpointState::Removed
                 })
             };
-            barring.iter().filter(is_open).map(|record| (*record).clone()).collect()
+            excluding.iter().filter(is_open).map(|record| (*record).clone()).collect()
         };
         for EndpointRecord { name, address, state, .. } in &open {
-            tracing::trace!(%name, ?address, ?state, version, "endpoint is barred");
+            tracing::trace!(%name, ?address, ?state, version, "endpoint excluded");
         }
-        self.book(&open, false)
+        self.apply_records(&open, false)
     }
 
-    /// Bars what a whole list leaves out, and hands it on. The list is not taken, as its call is not waited for any more. What
-    /// it leaves out is open again once a list that is taken names it; an older list does not open it, unless
-    /// discovery has moved and its version says nothing (`version`: none).
+    /// Excludes the endpoints that a complete list omits and returns the entries that changed. Used for a list that is not
+    /// applied because its call was abandoned. An omitted endpoint reopens once an applied list names it, but an older list
+    /// does not reopen it, unless `version` is `None`: discovery has moved, and versions can't be compared.
     pub fn exclude_unlisted(&self, list: &EndpointList, version: Option<i64>) -> Vec<EndpointEntry> {
         let outdated = self.version.get().is_some_and(|held| version.is_some_and(|version| version < held));
         if !list.is_complete || outdated {
@@ -235,7 +236,7 @@
         }
         let listed: HashSet<&str> = list.records.iter().map(|record| record.name.as_str()).collect();
         let (ids, mut entries) = (self.ids.borrow(), self.entries.borrow_mut());
-        let mut barred = Vec::new();
+        let mut excluded = Vec::new();
         for (name, id) in ids.iter().filter(|(name, _)| !listed.contains(name.as_str())) {
             if let Some(entry) =
                 entries.get_mut(id).filter(|entry| entry.listed.state == EndpointState::Ready)
@@ -244,53 +245,55 @@
                 if let Some(version) = version {
                     self.excluded_by_newer.borrow_mut().insert(name.clone(), version);
                 }
-                barred.push(stricter(entry.listed.clone(), entry.adjustment));
+                excluded.push(adjusted(entry.listed.clone(), entry.adjustment));
             }
         }
-        barred.sort_by_key(|entry| entry.endpoint);
-        barred
+        excluded.sort_by_key(|entry| entry.endpoint);
+        excluded
     }
 
-    /// Notes what a list bars that has not been taken, known or not.
-    fn note_exclusions(&self, barring: &[&EndpointRecord], version: Option<i64>) {
-        // A list whose version is not known yet is newer than the one held, or it will bring no news.
+    /// Remembers the endpoints, known or not, that a list which has not been applied excludes.
+    fn remember_exclusions(&self, excluding: &[&EndpointRecord], version: Option<i64>) {
+        // A list whose version is not known yet is assumed to be newer than the current one: if it isn't, it changes nothing.
         let version = version.unwrap_or_else(|| self.version.get().map_or(0, |held| held.saturating_add(1)));
         if self.version.get().is_some_and(|held| version <= held) {
             return;
         }
         let mut excluded_by_newer = self.excluded_by_newer.borrow_mut();
-        for record in barring {
-            let barred = excluded_by_newer.entry(record.name.clone()).or_insert(version);
-            *barred = version.max(*barred);
+        for record in excluding {
+            let excluded_by = excluded_by_newer.entry(record.name.clone()).or_insert(version);
+            *excluded_by = version.max(*excluded_by);
         }
     }
 
-    fn book(&self, records: &[EndpointRecord], is_complete: bool) -> Vec<EndpointEntry> {
+    /// Enters these records and returns the resulting entries. With `is_complete`, endpoints without a record are dropped.
+    fn apply_records(&self, records: &[EndpointRecord], is_complete: bool) -> Vec<EndpointEntry> {
         let (mut entries, mut ids) = (self.entries.borrow_mut(), self.ids.borrow_mut());
         let excluded_by_newer = self.excluded_by_newer.borrow();
-        let mut members = Vec::with_capacity(records.len());
+        let mut applied = Vec::with_capacity(records.len());
         let mut listed = HashSet::with_capacity(if is_complete { records.len() } else { 0 });
         for record in records {
-            let barred = excluded_by_newer.contains_key(&record.name);
+            let excluded = excluded_by_newer.contains_key(&record.name);
             let id = match (ids.get(&record.name), record.address) {
                 (Some(&id), _) => id,
-                (None, Some(_)) if record.state != EndpointState::Removed && !barred => {
+                (None, Some(_)) if record.state != EndpointState::Removed && !excluded => {
                     let id = EndpointId(self.next_id.replace(self.next_id.get() + 1));
                     ids.insert(record.name.clone(), id);
                     id
                 }
-                // Gone before we heard of it, or since this list was made.
+                // Removed before it was ever known here, or excluded by a newer list.
                 _ => continue,
             };
             if is_complete {
                 listed.insert(id);
             }
-            // Danger: the module takes another start for another process, so one that is told again keeps its time.
+            // The decision module takes a different start time for a new process, so a repeated record must keep the time that
+            // was computed for it first.
             let same = entries.get(&id).filter(|entry| entry.since_ms == record.since_ms);
             let started =
                 same.map_or_else(|| self.start_clock.started(record.since_ms), |entry| entry.listed.started);
             let mut entry = self.entry(id, record, started);
-            if barred && entry.state == EndpointState::Ready {
+            if excluded && entry.state == EndpointState::Ready {
                 entry.state = EndpointState::Draining;
             }
             let adjustment = self.adjustment(&record.name, &entry);
@@ -300,20 +303,20 @@
                 entries.insert(id, Entry { address, since_ms, listed: entry.clone(), adjustment, accepted });
             }
             if entry.state == EndpointState::Removed {
-                // Nothing new goes there, and no table may grow with every machine that ever was.
+                // Without this, the tables would grow with every endpoint that ever existed.
                 entries.remove(&id);
                 ids.remove(&record.name);
             }
-            members.push(stricter(entry, adjustment));
+            applied.push(adjusted(entry, adjustment));
         }
         if is_complete {
             entries.retain(|id, _| listed.contains(id));
             ids.retain(|_, id| listed.contains(id));
         }
-        members
+        applied
     }
 
-    /// A record as the module takes it.
+    /// Converts a record to the decision module's types.
     fn entry(&self, endpoint: EndpointId, record: &EndpointRecord, started: Option<Time>) -> EndpointEntry {
         let zones = self.zones.borrow();
         let zone = record.zone.as_ref().and_then(|zone| zones.iter().position(|z| z == zone));
@@ -328,7 +331,7 @@
         }
     }
 
-    /// From now on the plan judges what is listed.
+    /// Sets the source of the plan's adjustments.
     pub fn set_weight_adjuster(&self, adjuster: WeightAdjuster) {
         self.adjuster.replace(Some(adjuster));
     }
@@ -340,7 +343,7 @@
         adjuster.as_ref().map_or(WeightAdjustment::Unchanged, |adjuster| adjuster(name, zone, entry.cell.0))
     }
 
-    /// The plan has changed: the entries of which it now says something else, as the module takes them.
+    /// Looks up the plan's adjustments again and returns the entries whose adjustment has changed.
     pub fn refresh_adjustments(&self) -> Vec<EndpointEntry> {
         let (ids, mut entries) = (self.ids.borrow(), self.entries.borrow_mut());
         let mut changed = Vec::new();
@@ -348,27 +351,27 @@
             let Some(entry) = entries.get_mut(id) else { continue };
             let adjustment = self.adjustment(name, &entry.listed);
             if std::mem::replace(&mut entry.adjustment, adjustment) != adjustment {
-                changed.push(stricter(entry.listed.clone(), adjustment));
+                changed.push(adjusted(entry.listed.clone(), adjustment));
             }
         }
         changed.sort_by_key(|entry| entry.endpoint);
         changed
     }
 
-    /// All that is listed: name, zone, group, and whether discovery holds it to be ready.
+    /// All known endpoints: name, zone, group, and whether discovery lists them as ready.
     pub fn listed(&self) -> Vec<(String, String, usize, bool)> {
         let (ids, entries, zones) = (self.ids.borrow(), self.entries.borrow(), self.zones.borrow());
-        let row = |(name, id): (&String, &EndpointId)| {
+        let summary = |(name, id): (&String, &EndpointId)| {
             let listed = &entries.get(id)?.listed;
             let zone = zones.get(listed.zone.0).cloned().unwrap_or_default();
             Some((name.clone(), zone, listed.cell.0, listed.state == EndpointState::Ready))
         };
-        ids.iter().filter_map(row).collect()
+        ids.iter().filter_map(summary).collect()
     }
 }
 
-/// What discovery told, and what the plan says of it: the stricter of both.
-fn stricter(mut entry: EndpointEntry, adjustment: WeightAdjustment) -> EndpointEntry {
+/// Applies the plan's adjustment to an entry. It never makes the entry available where discovery does not.
+fn adjusted(mut entry: EndpointEntry, adjustment: WeightAdjustment) -> EndpointEntry {
     match adjustment {
         WeightAdjustment::Unchanged => {}
         WeightAdjustment::Scaled(share) => entry.weight *= share,
--- a/crates/sidecar/src/probe.rs
+++ b/crates/sidecar/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: what a backend server says of its load.
+//! Probes, which ask an endpoint for its load report.
 
 use crate::counters::count;
 use crate::exchange::{Ends, Exchanger, Lack, Reply, Stage, without_answer};
@@ -11,17 +11,17 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// A probe is answered beside the queue; one that takes longer than this has told nothing in time.
-const PATIENCE: Duration = Duration::from_millis(300);
+/// Timeout of a probe. Endpoints answer probes without queueing them, so a slower response would come too late to be of use.
+const TIMEOUT: Duration = Duration::from_millis(300);
 
-/// No figure of a load report is higher than this.
-const MOST: f64 = 1e6;
+/// Upper bound for the values of a load report.
+const MAX_VALUE: f64 = 1e6;
 
-/// Probes a backend server.
+/// Sends a probe to an endpoint.
 pub async fn send<P: Platform>(exchanger: &Exchanger<P>, fields: &[Field], to: EndpointId) -> Probed {
     count(&exchanger.counters.probes);
     let platform = exchanger.pool.platform();
-    let (stage, ends) = (Cell::new(Stage::Unwritten), platform.now() + PATIENCE);
+    let (stage, ends) = (Cell::new(Stage::Unwritten), platform.now() + TIMEOUT);
     let message = || client::get("/metrics/load", "backend.local");
     let probed = match platform
         .timeout_at(
@@ -44,18 +44,18 @@
     probed
 }
 
-/// Reads a load report, of the values that the settings name.
+/// Parses a load report. Fields that the settings don't name are ignored; one invalid value invalidates the report.
 pub fn parse_report(text: &[u8], fields: &[Field]) -> Option<LoadReport> {
-    let value: Value = serde_json::from_slice(text).ok()?;
+    let json: Value = serde_json::from_slice(text).ok()?;
     let mut report = LoadReport::default();
-    for (name, figure) in value.as_object()? {
+    for (name, value) in json.as_object()? {
         let field = Field::named(name);
         if !fields.contains(&field) {
             continue;
         }
-        // Danger: one absurd figure would make its backend server, or all the others, look idle for long.
-        let figure = figure.as_f64().filter(|figure| (0.0..=MOST).contains(figure))?;
-        field.set(&mut report, figure);
+        // An absurd value would make this endpoint, or all the others, look idle for a long time.
+        let value = value.as_f64().filter(|value| (0.0..=MAX_VALUE).contains(value))?;
+        field.set(&mut report, value);
     }
     Some(report)
 }
--- a/crates/sidecar/tests/discovery_schedule.rs
+++ b/crates/sidecar/tests/discovery_schedule.rs
@@ -378,7 +378,7 @@
     let gap = |corroborated: bool| {
         let mut schedule = Schedule::new(3);
         schedule.configure(false, Duration::from_secs(10));
-        schedule.observe(corroborated);
+        schedule.set_corroborated(corroborated);
         let mut began = Vec::new();
         let mut now = Time::ZERO;
         for _ in 0..3 {
