--- a/crates/sidecar/tests/crowded_discovery.rs
+++ b/crates/sidecar/tests/crowded_discovery.rs
@@ -1,5 +1,5 @@
-//! Requests and drains while discovery cannot confirm lists: it has more callers than it can answer, cannot be reached, or has
-//! not answered a process that has just started.
+//! Requests and drains while discovery cannot confirm lists, because it is overloaded, unreachable, or has not yet answered a
+//! process that has just started.
 #![allow(clippy::disallowed_methods)]
 mod common;
 
@@ -15,53 +15,53 @@
 const MS: Duration = Duration::from_millis(1);
 const ENDPOINTS: usize = 16;
 const DRAINED: usize = 5;
-/// A change counts as told so long after discovery had it, ...
+/// How long after discovery had a change the change counts as delivered.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// ... and then the grace and the slack of the protocol run.
+/// The grace period of a drain and its slack, which the protocol adds to that.
 const GRACE: Duration = Duration::from_millis(300);
-/// Discovery has calls wait for so long before it refuses them.
-const QUEUE: Duration = Duration::from_secs(2);
-/// An endpoint that drains takes new requests for so long.
-const WINDING_DOWN: Duration = Duration::from_secs(2);
-/// A call is made within this time while discovery answers nobody, and a second one may be needed.
+/// How long an overloaded discovery lets calls wait before it rejects them.
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long an endpoint accepts new requests after it has begun to drain.
+const DRAINING_ACCEPTS_FOR: Duration = Duration::from_secs(2);
+/// A sidecar calls discovery within this time during an outage, including a second call if one is needed.
 const CALLED_WITHIN: Duration = Duration::from_millis(8000);
-const REFUSAL: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+const REJECTION: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
-/// What discovery does with calls.
+/// How the stub discovery treats calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum Service {
-    /// It answers them.
+    /// Answers them.
     #[default]
     Answers,
-    /// It has more callers than it can answer: calls wait and are refused.
-    Crowded,
-    /// Nobody listens, and connections are closed.
+    /// Lets them wait and rejects them, as if there were more than it can answer.
+    Overloaded,
+    /// Refuses connections, and closes open ones.
     Down,
 }
 
-/// What the stand-ins share.
+/// The state that the stubs share.
 #[derive(Default)]
-struct World {
+struct Stubs {
     discovery: Mutex<Service>,
-    /// Endpoints that drain go on serving.
+    /// Whether draining endpoints go on serving requests.
     serves_on: bool,
-    /// Since when the first endpoints drain.
+    /// Since when the first [`DRAINED`] endpoints drain.
     drained: Mutex<Option<Instant>>,
-    /// When requests began: by whom, at which endpoint.
+    /// Sidecar, endpoint and start of each request.
     begun: Mutex<Vec<(String, usize, Instant)>>,
 }
 
-impl World {
+impl Stubs {
     fn drained_for(&self, endpoint: usize) -> Option<Duration> {
         let drained = *self.drained.lock().expect("no panic");
         drained.filter(|_| endpoint < DRAINED).map(|at| at.elapsed())
     }
 
-    /// Endpoints begin to drain, and discovery, which has that, is crowded from then on.
+    /// Endpoints begin to drain. Discovery has the change, but is overloaded from then on.
     fn drain(&self) -> Instant {
         let now = Instant::now();
         *self.drained.lock().expect("no panic") = Some(now);
-        self.set_discovery(Service::Crowded);
+        self.set_discovery(Service::Overloaded);
         now
     }
 
@@ -93,20 +93,20 @@
     std::thread::spawn(move || {
         while let Ok(1) = stream.peek(&mut [0]) {
             let first_byte = Instant::now();
-            let Some(asked) = head(&mut stream) else { return };
-            if stream.write_all(answer(&asked, first_byte).as_bytes()).is_err() {
+            let Some(request) = head(&mut stream) else { return };
+            if stream.write_all(answer(&request, first_byte).as_bytes()).is_err() {
                 return;
             }
         }
     });
 }
 
-fn endpoint(world: Arc<World>, number: usize) -> SocketAddr {
-    serve(move |asked, first_byte| {
-        let id = asked.split("X-Call-Id: ").nth(1).and_then(|rest| rest.split('-').next()).unwrap_or("");
-        world.begun.lock().expect("no panic").push((id.to_owned(), number, first_byte));
-        match world.drained_for(number) {
-            Some(time) if time > WINDING_DOWN && !world.serves_on => {
+fn endpoint(stubs: Arc<Stubs>, number: usize) -> SocketAddr {
+    serve(move |request, first_byte| {
+        let id = request.split("X-Call-Id: ").nth(1).and_then(|rest| rest.split('-').next()).unwrap_or("");
+        stubs.begun.lock().expect("no panic").push((id.to_owned(), number, first_byte));
+        match stubs.drained_for(number) {
+            Some(time) if time > DRAINING_ACCEPTS_FOR && !stubs.serves_on => {
                 "HTTP/1.1 503 Draining\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n".to_owned()
             }
             _ => "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_owned(),
@@ -114,26 +114,26 @@
     })
 }
 
-/// A number in the target of a call.
-fn argument(asked: &str, name: &str) -> Option<u64> {
-    let rest = asked.split(name).nth(1)?;
+/// A numeric parameter in the target of a call.
+fn argument(request: &str, name: &str) -> Option<u64> {
+    let rest = request.split(name).nth(1)?;
     rest.split(|digit: char| !digit.is_ascii_digit()).next()?.parse().ok()
 }
 
-/// Discovery: version 1 names all endpoints, version 2 some as draining. While it is crowded it has everybody wait and refuses
-/// them.
-fn answer_call(world: &World, endpoints: &[SocketAddr], asked: &str, began: Instant) -> String {
-    let (from, hold) = (argument(asked, "from="), argument(asked, "hold_ms=").unwrap_or(0));
-    let has_news = || from.is_none_or(|from| from < world.version());
-    let answers = || world.discovery() == Service::Answers;
-    while answers() && !has_news() && began.elapsed() < Duration::from_millis(hold) {
+/// The stub discovery: version 1 lists all endpoints as ready, version 2 some as draining. While overloaded, it lets all calls
+/// wait and rejects them.
+fn answer_call(stubs: &Stubs, endpoints: &[SocketAddr], request: &str, began: Instant) -> String {
+    let (from, hold) = (argument(request, "from="), argument(request, "hold_ms=").unwrap_or(0));
+    let has_change = || from.is_none_or(|from| from < stubs.version());
+    let answers = || stubs.discovery() == Service::Answers;
+    while answers() && !has_change() && began.elapsed() < Duration::from_millis(hold) {
         sleep(5 * MS);
     }
     if !answers() {
-        sleep(QUEUE);
-        return REFUSAL.to_owned();
+        sleep(QUEUE_TIMEOUT);
+        return REJECTION.to_owned();
     }
-    let body = match (from, world.version()) {
+    let body = match (from, stubs.version()) {
         (None, 1) => list(endpoints, 1),
         (Some(from), version) if from >= version => {
             format!(r#"{{"index":{version},"snapshot":false,"endpoints":[]}}"#)
@@ -146,14 +146,14 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Discovery at an address that nobody else picks, as connections there are refused while it is down.
-fn discovery(world: Arc<World>, endpoints: Vec<SocketAddr>) -> SocketAddr {
+/// Starts the stub discovery. Its address is reserved, so that connections are refused while it is down.
+fn discovery(stubs: Arc<Stubs>, endpoints: Vec<SocketAddr>) -> SocketAddr {
     let [_, address, _] = places(1)[0];
     let mut listener = Some(listen_at(address));
     std::thread::spawn(move || {
         let mut connections = Vec::new();
         loop {
-            if world.discovery() == Service::Down {
+            if stubs.discovery() == Service::Down {
                 listener = None;
                 for connection in connections.drain(..) {
                     let _ = TcpStream::shutdown(&connection, Shutdown::Both);
@@ -161,8 +161,10 @@
             } else if let Ok((stream, _)) = listener.get_or_insert_with(|| listen_at(address)).accept() {
                 stream.set_nonblocking(false).expect("a socket");
                 connections.extend(stream.try_clone());
-                let (world, endpoints) = (world.clone(), endpoints.clone());
-                serve_connection(stream, move |asked, began| answer_call(&world, &endpoints, asked, began));
+                let (stubs, endpoints) = (stubs.clone(), endpoints.clone());
+                serve_connection(stream, move |request, began| {
+                    answer_call(&stubs, &endpoints, request, began)
+                });
                 continue;
             }
             sleep(2 * MS);
@@ -177,7 +179,7 @@
     listener
 }
 
-/// A process of the program.
+/// A sidecar process.
 struct Sidecar {
     name: String,
     _process: Process,
@@ -213,7 +215,7 @@
         }
     }
 
-    /// A request each 33 ms until then: the status of each, with the time at which it was sent.
+    /// Sends a request every 33 ms until `until`. Returns when each was sent, and its status.
     fn load(&self, until: Instant) -> Vec<(Instant, Option<u16>)> {
         let mut answers = Vec::new();
         while Instant::now() < until {
@@ -225,10 +227,10 @@
     }
 }
 
-/// How many requests of each sidecar began at an endpoint after its drain counted as told.
-fn late(world: &World, drained: Instant) -> BTreeMap<String, usize> {
+/// The number of requests by sidecar that began at an endpoint after its drain counted as delivered.
+fn late(stubs: &Stubs, drained: Instant) -> BTreeMap<String, usize> {
     let mut late = BTreeMap::new();
-    for (sidecar, endpoint, at) in world.begun.lock().expect("no panic").iter() {
+    for (sidecar, endpoint, at) in stubs.begun.lock().expect("no panic").iter() {
         if *endpoint < DRAINED && *at > drained + NOTIFICATION_DEADLINE + GRACE {
             *late.entry(sidecar.clone()).or_default() += 1;
         }
@@ -236,18 +238,18 @@
     late
 }
 
-/// The share of the requests sent from then on that was served.
+/// The share of the requests sent from `from` on that was served.
 fn served(answers: &[(Instant, Option<u16>)], from: Instant) -> f64 {
     let sent: Vec<_> = answers.iter().filter(|(at, _)| *at >= from).collect();
     sent.iter().filter(|(_, status)| *status == Some(200)).count() as f64 / sent.len().max(1) as f64
 }
 
-/// Requests of sidecars that run beside each other, and how they were answered.
+/// The thread that loads a sidecar, with the results of the requests.
 type Load = std::thread::JoinHandle<(Vec<(Instant, Option<u16>)>, Sidecar)>;
 
-/// A fleet of processes with a load on each.
+/// A fleet of sidecar processes, each under load.
 struct Fleet {
-    world: Arc<World>,
+    stubs: Arc<Stubs>,
     known: String,
     discovery: SocketAddr,
     end: Instant,
@@ -255,22 +257,22 @@
 }
 
 impl Fleet {
-    /// One without processes, whose load ends after this time.
+    /// Creates a fleet without processes, whose load ends after `lasts`.
     fn new(lasts: Duration) -> Fleet {
-        Fleet::in_world(World::default(), lasts)
+        Fleet::with_stubs(Stubs::default(), lasts)
     }
 
-    /// The same with these stand-ins.
-    fn in_world(world: World, lasts: Duration) -> Fleet {
-        let world = Arc::new(world);
+    /// The same with these stubs.
+    fn with_stubs(stubs: Stubs, lasts: Duration) -> Fleet {
+        let stubs = Arc::new(stubs);
         let endpoints: Vec<SocketAddr> =
-            (0..ENDPOINTS).map(|number| endpoint(world.clone(), number)).collect();
+            (0..ENDPOINTS).map(|number| endpoint(stubs.clone(), number)).collect();
         let known = list(&endpoints, 1);
-        let discovery = discovery(world.clone(), endpoints);
-        Fleet { world, known, discovery, end: Instant::now() + lasts, loads: Vec::new() }
+        let discovery = discovery(stubs.clone(), endpoints);
+        Fleet { stubs, known, discovery, end: Instant::now() + lasts, loads: Vec::new() }
     }
 
-    /// Processes start with the list that was held before anything drained, and get requests as soon as they listen.
+    /// Starts processes with the list from before any drain, and loads them as soon as they listen.
     fn start(&mut self, names: &[&str]) {
         let started: Vec<Sidecar> =
             names.iter().map(|name| Sidecar::start(name, self.discovery, &self.known)).collect();
@@ -281,36 +283,36 @@
         );
     }
 
-    /// Waits for the end of the load.
+    /// Waits until the load ends.
     fn finish(self) -> Finished {
         let answers = |load: Load| {
             let (answers, sidecar) = load.join().expect("no panic");
             (sidecar.name, answers)
         };
-        Finished { world: self.world, answers: self.loads.into_iter().map(answers).collect() }
+        Finished { stubs: self.stubs, answers: self.loads.into_iter().map(answers).collect() }
     }
 }
 
-/// What a fleet has done.
+/// The results of a fleet.
 struct Finished {
-    world: Arc<World>,
+    stubs: Arc<Stubs>,
     answers: BTreeMap<String, Vec<(Instant, Option<u16>)>>,
 }
 
 impl Finished {
     fn assert_nothing_late(&self, drained: Instant) {
-        assert_eq!(late(&self.world, drained), BTreeMap::new(), "late requests by sidecar");
+        assert_eq!(late(&self.stubs, drained), BTreeMap::new(), "late requests by sidecar");
     }
 
-    /// Every request got a final answer: it was served, or it was refused.
+    /// Checks that every request got a final response, served or rejected.
     fn assert_all_answered(&self) {
         for (name, answers) in &self.answers {
             let other = answers.iter().find(|(_, status)| !matches!(status, Some(200 | 503)));
-            assert_eq!(other, None, "{name}: neither served nor refused");
+            assert_eq!(other, None, "{name}: neither served nor rejected");
         }
     }
 
-    /// The sidecars of this kind served so much from then on.
+    /// Checks that sidecars of this kind served more than this share of the requests sent from `from` on.
     fn assert_served(&self, kind: &str, from: Instant, at_least: f64) {
         for (name, answers) in self.answers.iter().filter(|(name, _)| name.starts_with(kind)) {
             let served = served(answers, from);
@@ -319,20 +321,20 @@
     }
 }
 
-/// Guards against the first incident: a list went on being used while discovery was crowded.
+/// Guards against the first incident: sidecars went on using a list while discovery was overloaded.
 #[test]
-fn no_request_begins_at_a_drained_endpoint_while_discovery_is_crowded() {
+fn no_request_begins_at_a_drained_endpoint_while_discovery_is_overloaded() {
     let mut fleet = Fleet::new(Duration::from_millis(20_000));
     fleet.start(&["running0", "running1", "running2"]);
     sleep(1500 * MS);
-    let drained = fleet.world.drain();
+    let drained = fleet.stubs.drain();
     sleep(200 * MS);
     fleet.start(&["started0", "started1"]);
     sleep(1300 * MS);
     fleet.start(&["late0", "late1"]);
     sleep((8000 * MS).saturating_sub(drained.elapsed()));
     let back = Instant::now();
-    fleet.world.set_discovery(Service::Answers);
+    fleet.stubs.set_discovery(Service::Answers);
     let finished = fleet.finish();
     finished.assert_nothing_late(drained);
     finished.assert_all_answered();
@@ -342,28 +344,29 @@
     }
 }
 
-/// Guards against issue 52: a refused connection prolonged the list over changes that discovery had before it went down.
+/// Guards against issue 52: a refused connection extended the validity of a list, although discovery had a change before it went
+/// down.
 #[test]
-fn an_outage_does_not_prolong_a_list_over_changes_that_came_before_it() {
+fn an_outage_does_not_extend_a_list_past_earlier_changes() {
     let mut fleet = Fleet::new(Duration::from_millis(16_000));
     fleet.start(&["running0", "running1", "running2"]);
     sleep(1500 * MS);
-    let drained = fleet.world.drain();
+    let drained = fleet.stubs.drain();
     sleep(200 * MS);
-    fleet.world.set_discovery(Service::Down);
+    fleet.stubs.set_discovery(Service::Down);
     sleep(3500 * MS);
-    fleet.world.set_discovery(Service::Crowded);
+    fleet.stubs.set_discovery(Service::Overloaded);
     let finished = fleet.finish();
     finished.assert_nothing_late(drained);
     finished.assert_all_answered();
     finished.assert_served("running", drained + 1000 * MS, 0.9);
 }
 
-/// Guards against issue 52: a process that has just started relied on the list it was given, whatever its age.
+/// Guards against issue 52: a process that had just started relied on the list it was given, whatever its age.
 #[test]
-fn a_process_sends_nothing_by_an_old_list_that_it_is_started_with() {
+fn a_process_sends_nothing_based_on_an_old_initial_list() {
     let mut fleet = Fleet::new(Duration::from_millis(12_000));
-    let drained = fleet.world.drain();
+    let drained = fleet.stubs.drain();
     sleep(NOTIFICATION_DEADLINE - 800 * MS);
     fleet.start(&["started0", "started1", "started2"]);
     let finished = fleet.finish();
@@ -371,15 +374,15 @@
     finished.assert_all_answered();
 }
 
-/// Guards against an endpoint that drains and goes on serving: that it took a request does not show that it is not listed as
-/// draining.
+/// Guards against relying on an accepted request: an endpoint that drains may go on serving, so the request does not show that
+/// discovery does not list it as draining.
 #[test]
 fn an_endpoint_that_drains_and_serves_on_gets_no_late_request() {
-    let serves_on = World { serves_on: true, ..World::default() };
-    let mut fleet = Fleet::in_world(serves_on, Duration::from_millis(12_000));
+    let serves_on = Stubs { serves_on: true, ..Stubs::default() };
+    let mut fleet = Fleet::with_stubs(serves_on, Duration::from_millis(12_000));
     fleet.start(&["running0", "running1", "running2"]);
     sleep(1500 * MS);
-    let drained = fleet.world.drain();
+    let drained = fleet.stubs.drain();
     let finished = fleet.finish();
     finished.assert_nothing_late(drained);
     finished.assert_all_answered();
--- a/crates/sidecar/tests/discovery_outage.rs
+++ b/crates/sidecar/tests/discovery_outage.rs
@@ -1,5 +1,5 @@
-//! A fleet's calls when discovery is back from an outage: all are answered before what it has counts as told, where that
-//! is possible at all. The schedules of the whole fleet run against a model of discovery that answers calls in turn.
+//! The calls of a fleet after an outage of discovery. Where discovery has the capacity, all calls are answered before its changes
+//! count as delivered. The schedules of the whole fleet run against a model of discovery that answers one call after another.
 
 use cometcroft_sidecar::discovery::schedule::{CallId, Failure, NOTIFICATION_DEADLINE, Schedule, Time};
 use std::cmp::Reverse;
@@ -7,20 +7,20 @@
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
-/// When the watches of the whole fleet end.
+/// When discovery goes down and the watches of the whole fleet end.
 const DOWN_FROM: Time = Duration::from_secs(10);
 const ASK_WITHIN: Duration = Duration::from_secs(10);
-/// A call that has stood in the queue for longer is refused, and costs as much as one that is answered.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// What the protocol adds to the time after which a change counts as told: a drain's grace and its slack.
+/// A call that has waited in the queue for longer is rejected, and costs as much as one that is answered.
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The grace period of a drain and its slack, which the protocol adds to [`NOTIFICATION_DEADLINE`].
 const GRACE: Duration = Duration::from_millis(300);
 const END: Time = Duration::from_secs(120);
 
 /// How calls fail while discovery is down.
 #[derive(Debug, Clone, Copy)]
 enum Down {
-    /// Refused after two seconds, like those that stand in a long queue.
-    Refuses,
+    /// They are rejected after two seconds, like calls in a long queue.
+    Rejects,
     /// No connection can be made.
     Unreachable,
 }
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Outage {
     sidecars: usize,
-    /// What a call costs discovery.
+    /// How long discovery works on a call.
     cost: Duration,
     lasts: Duration,
     down: Down,
@@ -39,11 +39,11 @@
     WatchEnds(usize),
     Due(usize),
     Fails(usize, CallId, bool),
-    GivenUp(usize, CallId),
+    TimesOut(usize, CallId),
     Served,
 }
 
-struct World {
+struct Simulation {
     outage: Outage,
     now: Time,
     schedules: Vec<Schedule>,
@@ -55,11 +55,11 @@
     serving: Option<(usize, CallId, Time)>,
 }
 
-impl World {
-    fn new(outage: Outage, seed: u64) -> World {
+impl Simulation {
+    fn new(outage: Outage, seed: u64) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(seed);
         let schedules = (0..outage.sidecars).map(|_| Schedule::new(rng.u64(..))).collect();
-        World {
+        Simulation {
             outage,
             now: Time::ZERO,
             schedules,
@@ -79,7 +79,8 @@
         self.events.push(Reverse((time, event)));
     }
 
-    /// All hold a watch when discovery goes down. Gives the times from its return to the first answer of each.
+    /// Runs the simulation, in which all sidecars hold a watch when discovery goes down. Returns the time from the end of the
+    /// outage to the first response of each.
     fn run(mut self) -> Vec<Duration> {
         for sidecar in 0..self.outage.sidecars {
             let schedule = &mut self.schedules[sidecar];
@@ -112,12 +113,12 @@
                 let failure = if reached { Failure::Rejected } else { Failure::Unreachable };
                 self.fail(sidecar, call, failure);
             }
-            Event::GivenUp(sidecar, call) => self.fail(sidecar, call, Failure::TimedOut),
+            Event::TimesOut(sidecar, call) => self.fail(sidecar, call, Failure::TimedOut),
             Event::Due(sidecar) => self.call(sidecar),
             Event::Served => {
                 if let Some((sidecar, call, arrived)) = self.serving.take() {
-                    // One that was refused meanwhile has cost its time all the same.
-                    if self.now - arrived <= PATIENCE + self.outage.cost {
+                    // A call that was rejected meanwhile has taken up discovery's time all the same.
+                    if self.now - arrived <= QUEUE_TIMEOUT + self.outage.cost {
                         self.answer(sidecar, call);
                     }
                 }
@@ -126,7 +127,8 @@
         }
     }
 
-    fn ended(&mut self, sidecar: usize, call: CallId) -> bool {
+    /// Removes a call that has ended; `false` if it had ended before.
+    fn remove_open(&mut self, sidecar: usize, call: CallId) -> bool {
         let open = &mut self.open[sidecar];
         let before = open.len();
         open.retain(|one| *one != call);
@@ -134,16 +136,16 @@
     }
 
     fn fail(&mut self, sidecar: usize, call: CallId, failure: Failure) {
-        if self.ended(sidecar, call) {
+        if self.remove_open(sidecar, call) {
             self.schedules[sidecar].failed(call, failure, self.now);
             self.call(sidecar);
         }
     }
 
     fn answer(&mut self, sidecar: usize, call: CallId) {
-        if self.ended(sidecar, call) {
+        if self.remove_open(sidecar, call) {
             self.schedules[sidecar].answered(call, self.now);
-            // From here on it holds a watch, whose calls do not queue.
+            // From here on the sidecar holds a watch, whose calls do not queue.
             self.answered[sidecar].get_or_insert(self.now);
         }
     }
@@ -155,10 +157,10 @@
         while let Some(call) = self.schedules[sidecar].poll(self.now, false) {
             self.open[sidecar].retain(|one| Some(*one) != call.replaces);
             self.open[sidecar].push(call.id);
-            self.at(self.now + call.timeout, Event::GivenUp(sidecar, call.id));
+            self.at(self.now + call.timeout, Event::TimesOut(sidecar, call.id));
             match self.outage.down {
                 _ if self.now >= self.back() => self.enqueue(sidecar, call.id),
-                Down::Refuses => self.at(self.now + PATIENCE, Event::Fails(sidecar, call.id, true)),
+                Down::Rejects => self.at(self.now + QUEUE_TIMEOUT, Event::Fails(sidecar, call.id, true)),
                 Down::Unreachable => self.at(self.now + MS, Event::Fails(sidecar, call.id, false)),
             }
         }
@@ -169,7 +171,7 @@
 
     fn enqueue(&mut self, sidecar: usize, call: CallId) {
         self.queue.push_back((sidecar, call, self.now));
-        self.at(self.now + PATIENCE, Event::Fails(sidecar, call, true));
+        self.at(self.now + QUEUE_TIMEOUT, Event::Fails(sidecar, call, true));
         if self.serving.is_none() {
             self.serve_next();
         }
@@ -183,18 +185,19 @@
     }
 }
 
-/// The share of the fleet that is answered before what discovery has counts as told, over some seeds, and the longest time.
-fn told_in_time(outage: Outage) -> (f64, Duration) {
-    let times: Vec<Duration> = (1..=5).flat_map(|seed| World::new(outage, seed).run()).collect();
+/// The share of the fleet, over several seeds, that is answered before the changes count as delivered, and the longest time.
+fn answered_in_time(outage: Outage) -> (f64, Duration) {
+    let times: Vec<Duration> = (1..=5).flat_map(|seed| Simulation::new(outage, seed).run()).collect();
     let in_time = times.iter().filter(|time| **time <= NOTIFICATION_DEADLINE + GRACE).count();
     (in_time as f64 / times.len() as f64, times.into_iter().max().unwrap_or_default())
 }
 
-/// A fleet whose calls take discovery most of the time that it has: 270 calls of 19.5 ms are 5.3 s of work.
+/// Outages of several lengths and kinds. A fleet of 270 sidecars whose calls take 19.5 ms each keeps discovery busy for 5.3 s, most
+/// of the time that it has.
 fn outages(sidecars: usize, cost: Duration) -> Vec<Outage> {
     let mut outages = Vec::new();
     for lasts in [3, 5, 8, 12, 20, 45] {
-        for down in [Down::Refuses, Down::Unreachable] {
+        for down in [Down::Rejects, Down::Unreachable] {
             outages.push(Outage { sidecars, cost, lasts: Duration::from_secs(lasts), down });
         }
     }
@@ -202,11 +205,11 @@
 }
 
 #[test]
-fn after_an_outage_a_whole_fleet_is_answered_in_time() {
+fn after_an_outage_the_whole_fleet_is_answered_in_time() {
     for (sidecars, cost) in [(270, 19_500), (30, 150_000), (800, 6_500), (300, 1_000), (5, 1_000)] {
         for outage in outages(sidecars, Duration::from_micros(cost)) {
-            let (share, longest) = told_in_time(outage);
-            // Phases are drawn, so for a moment there may be more calls than discovery has time for.
+            let (share, longest) = answered_in_time(outage);
+            // Phases are random, so for a moment there may be more calls than discovery can answer.
             assert!(
                 share >= 0.99,
                 "{share:.3} within {:?}, longest {longest:?}: {outage:?}",
@@ -217,10 +220,10 @@
 }
 
 #[test]
-fn where_calls_take_longer_than_there_is_time_most_are_answered_and_all_in_the_end() {
+fn beyond_discoverys_capacity_many_are_answered_in_time_and_all_in_the_end() {
     for (sidecars, cost) in [(330, 19_500), (400, 19_500), (330, 28_000)] {
         for outage in outages(sidecars, Duration::from_micros(cost)) {
-            let (share, longest) = told_in_time(outage);
+            let (share, longest) = answered_in_time(outage);
             assert!(
                 share >= 0.4 && longest < Duration::from_secs(50),
                 "{share:.3}, longest {longest:?}: {outage:?}"
--- a/crates/sidecar/tests/discovery_schedule.rs
+++ b/crates/sidecar/tests/discovery_schedule.rs
@@ -1,4 +1,4 @@
-//! When discovery is called, and that a change is known before it counts as told whatever call failed.
+//! The schedule of calls to discovery: a change becomes known before it counts as delivered, whichever calls fail.
 #![allow(clippy::disallowed_methods)]
 mod common;
 
@@ -19,84 +19,84 @@
     ]
 }
 
-/// The next call and when it is made, with no call ending before.
-fn next(schedule: &mut Schedule, now: Time, whole: bool) -> (Time, Call) {
-    let at = schedule.next_at().expect("a call is due some time").max(now);
-    (at, schedule.poll(at, whole).expect("it is due now"))
+/// The next call and when it is due, if no call in flight ends before.
+fn next(schedule: &mut Schedule, now: Time, complete: bool) -> (Time, Call) {
+    let at = schedule.next_at().expect("a call is due").max(now);
+    (at, schedule.poll(at, complete).expect("the call is due now"))
 }
 
-/// When a call ends that fails so: refusals come at once, silence is given up.
-fn ends(call: Call, at: Time, failure: Failure) -> Time {
+/// When a call with this failure ends: at its timeout, or else at once.
+fn end_time(call: Call, at: Time, failure: Failure) -> Time {
     if failure == Failure::TimedOut { at + call.timeout } else { at }
 }
 
 proptest! {
     #![proptest_config(common::fixed(2000))]
-    /// Whatever failed before: after a call that was refused or broke off, the next one may still fall silent, and another
-    /// is made with half a second left before what it brings counts as told. Same after an answer and after an outage,
-    /// where what a silent wait misses counts as told 2 s after the wait is over, if that is later. A discovery that cannot
-    /// be reached has nothing to tell: from when it can, the next call is made with half a second left.
+    /// Whatever failed before: after a rejected or truncated call the next one may time out too, and yet another call is made
+    /// half a second before the changes it delivers count as delivered. The same holds after a successful call and after an
+    /// outage; there, what a held call misses counts as delivered 2 s after its hold time, if that is later. While discovery
+    /// is unreachable, nothing counts as delivered: once it can be reached, the next call is made with half a second left.
     #[test]
-    fn a_change_is_known_in_time_though_one_call_more_falls_silent(
+    fn a_change_is_known_in_time_even_if_one_more_call_times_out(
         before in proptest::collection::vec(failure(), 0..12),
         last in prop_oneof![Just(None), failure().prop_map(Some)],
         seed in any::<u64>(),
         pushed in any::<bool>(),
         ask_within in prop_oneof![Just(Duration::MAX), (500u64..60_000).prop_map(Duration::from_millis)],
-        whole in any::<bool>(),
+        complete in any::<bool>(),
     ) {
         let mut schedule = Schedule::new(seed);
         schedule.configure(pushed, ask_within);
         let mut now = Time::ZERO;
         let before_last = before.clone();
         for failure in before {
-            let (at, call) = next(&mut schedule, now, whole);
-            now = ends(call, at, failure);
+            let (at, call) = next(&mut schedule, now, complete);
+            now = end_time(call, at, failure);
             schedule.failed(call.id, failure, now);
         }
-        let (at, call) = next(&mut schedule, now, whole);
+        let (at, call) = next(&mut schedule, now, complete);
         let reached = match last {
             None => {
                 schedule.answered(call.id, at);
                 at
             }
             Some(failure) => {
-                // A call that is given up may have reached discovery when it began.
-                now = ends(call, at, failure);
+                // A call that timed out may have reached discovery when it began.
+                now = end_time(call, at, failure);
                 schedule.failed(call.id, failure, now);
-                let retried = schedule.next_at().expect("it is retried");
+                let retried = schedule.next_at().expect("the call is retried");
                 if failure == Failure::Unreachable && retried - now > 1950 * MS {
-                    prop_assert!(!before_last.is_empty(), "one alone may be a connection that was reset");
+                    prop_assert!(!before_last.is_empty(), "a single failure may be a connection that was reset");
                     prop_assert!(retried + 500 * MS <= now + NOTIFICATION_DEADLINE && retried - now <= ask_within.max(1500 * MS));
                     return Ok(());
                 }
                 let outage = now > schedule.confirmed() + NOTIFICATION_DEADLINE;
                 let longest = if outage { ask_within } else { ask_within / 2 };
-                prop_assert!(retried - now <= longest.max(600 * MS), "the settings' time for asking is kept");
+                prop_assert!(retried - now <= longest.max(600 * MS), "the settings' limit on the time between two calls is exceeded");
                 now
             }
         };
-        let (at, silent) = next(&mut schedule, reached, whole);
+        let (at, timed_out) = next(&mut schedule, reached, complete);
         let second = match schedule.next_at() {
-            // Made beside the silent one.
+            // Made beside the one that times out.
             Some(due) => due,
             None => {
-                let end = at + silent.timeout;
-                schedule.failed(silent.id, Failure::TimedOut, end);
-                schedule.next_at().expect("it is retried")
+                let end = at + timed_out.timeout;
+                schedule.failed(timed_out.id, Failure::TimedOut, end);
+                schedule.next_at().expect("the call is retried")
             }
         };
         let outage = at > schedule.confirmed() + NOTIFICATION_DEADLINE;
-        let told = match last {
+        let delivered = match last {
             Some(_) if !outage => reached + NOTIFICATION_DEADLINE,
-            _ => (reached + NOTIFICATION_DEADLINE).max(at + silent.hold + 2000 * MS),
+            _ => (reached + NOTIFICATION_DEADLINE).max(at + timed_out.hold + 2000 * MS),
         };
-        prop_assert!(second + 500 * MS <= told, "{second:?} after {reached:?}");
+        prop_assert!(second + 500 * MS <= delivered, "{second:?} after {reached:?}");
     }
 
-    /// What an agent has counts at once, so one that is silent is asked again without a pause.
+    /// The changes that an agent has count as delivered at once, so an agent that does not respond is called again without delay.
     #[test]
-    fn an_agent_that_is_silent_is_asked_without_a_pause(seed in any::<u64>(), failures in 1usize..20) {
+    fn an_agent_that_does_not_respond_is_called_again_without_delay(seed in any::<u64>(), failures in 1usize..20) {
         let mut schedule = Schedule::new(seed);
         schedule.configure(true, Duration::from_secs(10));
         let mut now = Time::ZERO;
@@ -105,34 +105,34 @@
             prop_assert!(call.hold.is_zero() && call.timeout <= 500 * MS);
             now = at + call.timeout;
             schedule.failed(call.id, Failure::TimedOut, now);
-            let retried = schedule.next_at().expect("it is retried");
+            let retried = schedule.next_at().expect("the call is retried");
             prop_assert!(retried - now <= 30 * MS);
         }
     }
 
-    /// After a call that was answered the next waits for news; when it falls silent a second call, which asks for news that
-    /// is owed, has a second left at least.
+    /// After a successful call the next one is held until there is a change. If it times out, a second call, which is not held,
+    /// is made with at least one second left.
     #[test]
-    fn a_wait_that_falls_silent_is_followed_by_another_in_time(seed in any::<u64>(), pushed in any::<bool>()) {
+    fn a_held_call_that_times_out_is_followed_by_another_in_time(seed in any::<u64>(), pushed in any::<bool>()) {
         let mut schedule = Schedule::new(seed);
         schedule.configure(pushed, Duration::from_secs(10));
         let (at, first) = next(&mut schedule, Time::ZERO, false);
         schedule.answered(first.id, at);
         let (began, wait) = next(&mut schedule, at, false);
         prop_assert_eq!(began, at);
-        prop_assert!(wait.hold >= 1500 * MS, "waits in which nothing happens are no stream of calls");
+        prop_assert!(wait.hold >= 1500 * MS, "held calls without a change follow too quickly");
         if pushed {
             schedule.failed(wait.id, Failure::TimedOut, began + wait.timeout);
         }
         let (second, quick) = next(&mut schedule, began, false);
-        prop_assert!(second - began + 1000 * MS <= NOTIFICATION_DEADLINE, "no call was refused before");
-        prop_assert!(quick.hold.is_zero(), "whether there is news is owed");
+        prop_assert!(second - began + 1000 * MS <= NOTIFICATION_DEADLINE, "the second call is late");
+        prop_assert!(quick.hold.is_zero(), "the second call must not be held");
     }
 
-    /// A call that is overdue is not given up for the second one: a busy discovery answers late, and a call that is given up
-    /// has cost it as much as one that is answered.
+    /// An overdue call is not abandoned for the second one: a busy discovery answers late, and an abandoned call has cost it as
+    /// much as one that is answered.
     #[test]
-    fn a_busy_discovery_is_waited_for(seed in any::<u64>()) {
+    fn an_overdue_call_is_not_abandoned(seed in any::<u64>()) {
         let mut schedule = Schedule::new(seed);
         schedule.configure(false, Duration::from_secs(10));
         let (at, first) = next(&mut schedule, Time::ZERO, false);
@@ -140,8 +140,8 @@
         let (began, wait) = next(&mut schedule, at, false);
         let (second_at, second) = next(&mut schedule, began, false);
         prop_assert!(second.replaces.is_none() && began + wait.timeout > second_at);
-        prop_assert!(second.timeout >= 3 * Duration::from_secs(1), "as long as a call may be queued there");
-        // The answer of the first confirms the list, and no further call is made until the second has ended.
+        prop_assert!(second.timeout >= 3 * Duration::from_secs(1), "shorter than a call may wait in discovery's queue");
+        // The response to the first confirms the list, and no further call is made until the second has ended.
         let late = second_at + 100 * MS;
         schedule.answered(wait.id, late);
         prop_assert_eq!(schedule.confirmed(), late);
@@ -150,10 +150,10 @@
         prop_assert_eq!(schedule.next_at(), Some(late + 200 * MS));
     }
 
-    /// Backend servers that turn requests away say that the list is out of date: whoever sees that in an outage calls within
-    /// 1.5 s, and no number of such signs makes it call more often than once after each refused call.
+    /// Endpoints that reject requests indicate that the list is out of date. A sidecar that sees this in an outage calls within
+    /// 1.5 s, but however often it does, it calls only once after each rejected call.
     #[test]
-    fn a_list_that_is_suspected_is_asked_for_sooner_in_an_outage(seed in any::<u64>(), signs in 1usize..50) {
+    fn suspicion_brings_the_next_call_forward_in_an_outage(seed in any::<u64>(), signs in 1usize..50) {
         let mut schedule = Schedule::new(seed);
         schedule.configure(false, Duration::from_secs(10));
         let (at, call) = next(&mut schedule, Time::ZERO, false);
@@ -161,7 +161,7 @@
         schedule.failed(call.id, Failure::Rejected, now);
         let planned = schedule.next_at();
         schedule.suspect(now);
-        prop_assert_eq!(schedule.next_at(), planned, "in no outage it is not brought forward");
+        prop_assert_eq!(schedule.next_at(), planned, "brought forward although there is no outage");
         while now <= NOTIFICATION_DEADLINE {
             let (at, call) = next(&mut schedule, now, false);
             now = at + 2000 * MS;
@@ -170,20 +170,20 @@
         for _ in 0..signs {
             schedule.suspect(now);
         }
-        let due = schedule.next_at().expect("it is retried");
+        let due = schedule.next_at().expect("the call is retried");
         prop_assert!(due - now >= 500 * MS && due - now <= 1500 * MS);
-        let call = schedule.poll(due, false).expect("it is due");
+        let call = schedule.poll(due, false).expect("the call is due");
         let overdue = schedule.next_at();
         schedule.suspect(due);
-        prop_assert_eq!(schedule.next_at(), overdue, "no second call beside one that is queued");
+        prop_assert_eq!(schedule.next_at(), overdue, "a second call beside one that may be queued");
         schedule.failed(call.id, Failure::Rejected, due + 2000 * MS);
-        let retried = schedule.next_at().expect("it is retried");
-        prop_assert!(retried - due >= 2000 * MS + 3300 * MS, "without a new sign the pause is that of an outage");
+        let retried = schedule.next_at().expect("the call is retried");
+        prop_assert!(retried - due >= 2000 * MS + 3300 * MS, "the cycle of an outage does not continue");
     }
 
-    /// While discovery is down, whether it refuses calls after two seconds or cannot be reached, calls begin one period of
-    /// 5.5 s apart, the first within a period: whenever it is back, the next call is made with half a second left before what
-    /// it has counts as told. After ten such calls the periods grow, to five times as long at most.
+    /// While discovery is down, whether it rejects calls after two seconds or cannot be reached, calls begin one period of
+    /// 5.5 s apart, the first within a period. Whenever it is back, the next call is made with half a second left before its
+    /// changes count as delivered. After ten such calls the period grows to about five times its length.
     #[test]
     fn in_an_outage_calls_begin_a_period_apart(seed in any::<u64>(), unreachable in any::<bool>()) {
         let mut schedule = Schedule::new(seed);
@@ -201,7 +201,7 @@
             schedule.failed(call.id, failure, now);
         }
         let gaps: Vec<Duration> = began.windows(2).map(|two| two[1] - two[0]).collect();
-        // One that was not reached may have met a connection that was reset, and is repeated soon.
+        // A first unreachable call may be due to a connection that was reset, and is retried soon.
         let (first, steady) = if unreachable { (1, 2..11) } else { (0, 1..10) };
         prop_assert!(gaps[first] <= period + lasts, "{:?}", gaps);
         prop_assert!(gaps[steady].iter().all(|gap| *gap == period), "{:?}", gaps);
@@ -209,9 +209,9 @@
         prop_assert!(gaps[16..].iter().all(|gap| *gap >= period * 5), "{:?}", gaps);
     }
 
-    /// Whatever happens to its calls, however soon, a sidecar makes few of them: in an outage the whole fleet's add up.
+    /// However its calls fail, a sidecar makes few of them, as those of a whole fleet add up in an outage.
     #[test]
-    fn no_history_of_failures_makes_a_stream_of_calls(
+    fn no_sequence_of_failures_causes_a_burst_of_calls(
         seed in any::<u64>(),
         fates in proptest::collection::vec(
             (prop_oneof![3 => Just(None), 5 => Just(Some(Failure::Rejected)), 1 => failure().prop_map(Some)], 0u64..400),
@@ -221,7 +221,7 @@
         let mut schedule = Schedule::new(seed);
         schedule.configure(false, Duration::from_secs(10));
         let (mut now, mut made, mut open) = (Time::ZERO, Vec::new(), Vec::new());
-        // One call after another hangs or fails at once; some time after the next was made, one that hangs is given up.
+        // Each call hangs or fails at once. If a second one hangs, or no call is due, the first one that hangs times out.
         for (fate, later) in fates {
             let (at, call) = next(&mut schedule, now, false);
             now = at;
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn many_that_are_refused_at_once_do_not_come_again_in_step_nor_ever_faster() {
+fn sidecars_that_are_rejected_together_do_not_retry_together_nor_ever_faster() {
     let waits: Vec<Duration> = (0..400)
         .map(|seed| {
             let mut schedule = Schedule::new(seed);
@@ -267,16 +267,16 @@
                 now = at;
                 schedule.failed(call.id, Failure::Rejected, now);
             }
-            schedule.next_at().expect("it is retried") - now
+            schedule.next_at().expect("the call is retried") - now
         })
         .collect();
     let within = |from: u32| waits.iter().filter(|w| (from * MS..(from + 100) * MS).contains(*w)).count();
     assert!((0..25).all(|n| within(n * 100) <= 60), "{waits:?}");
-    assert!(waits.iter().all(|w| *w >= 600 * MS), "a swamped discovery is left alone for a while");
+    assert!(waits.iter().all(|w| *w >= 600 * MS), "an overloaded discovery is called again too soon");
 }
 
 #[test]
-fn an_older_list_is_taken_once_it_has_come_three_times_running() {
+fn an_older_list_is_accepted_once_it_has_come_three_times_in_a_row() {
     let mut schedule = Schedule::new(1);
     schedule.configure(false, Duration::from_secs(10));
     let mut now = Time::ZERO;
@@ -306,9 +306,9 @@
     assert_eq!(schedule.next_at(), due);
 }
 
-/// However long a list is, no second call is made while it keeps coming, and one is soon after it stops.
+/// However long a list is, no second call is made while it keeps arriving, and one is made soon after it stalls.
 #[test]
-fn a_list_that_keeps_coming_is_not_overdue() {
+fn a_list_that_keeps_arriving_is_not_overdue() {
     let mut schedule = Schedule::new(1);
     schedule.configure(false, Duration::from_secs(10));
     let (mut now, first) = next(&mut schedule, Time::ZERO, true);
@@ -320,7 +320,7 @@
     schedule.stalled(first.id, now);
     let (at, second) = next(&mut schedule, now, false);
     assert!(at <= now + 100 * MS && second.hold.is_zero() && second.replaces.is_none());
-    // Two lists that pause are no reason for a third call.
+    // Two stalled lists are no reason for a third call.
     schedule.stalled(second.id, at);
     schedule.stalled(first.id, at);
     assert!(schedule.next_at().is_none_or(|due| due >= at + 2000 * MS));
@@ -329,9 +329,9 @@
     assert_eq!(schedule.next_at(), Some(at + 20 * MS));
 }
 
-/// Of two calls the one whose list keeps coming is not given up for a third.
+/// Of two calls, the one whose list keeps arriving is not the one that a third replaces.
 #[test]
-fn the_call_of_which_nothing_comes_is_the_one_that_is_replaced() {
+fn the_least_active_call_is_replaced() {
     let mut schedule = Schedule::new(1);
     schedule.configure(false, Duration::from_secs(10));
     let (_, first) = next(&mut schedule, Time::ZERO, false);
@@ -341,7 +341,7 @@
     assert_eq!(third.replaces, Some(second.id));
 }
 
-/// Versions of the old address say nothing at the new one: the call there opens a watch, and may stand in a queue.
+/// Versions of the old address mean nothing at the new one, so the first call there opens a watch and may have to queue.
 #[test]
 fn a_call_after_a_move_continues_no_watch() {
     let mut schedule = Schedule::new(1);
@@ -353,9 +353,9 @@
     assert!(schedule.next_at().is_some_and(|overdue| overdue >= moved_at + 3000 * MS));
 }
 
-/// A wait hangs, and every call beside it is refused at once: they are as far apart as other calls that are refused.
+/// A held call hangs, and every call beside it is rejected at once: these are as far apart as other rejected calls.
 #[test]
-fn calls_beside_one_that_hangs_are_no_stream_when_they_are_refused() {
+fn rejected_calls_beside_one_that_hangs_are_no_burst() {
     let mut schedule = Schedule::new(1);
     schedule.configure(false, Duration::from_secs(10));
     let (mut now, first) = next(&mut schedule, Time::ZERO, false);
@@ -372,9 +372,10 @@
     assert!(made.len() <= 12, "{} calls: {made:?}", made.len());
 }
 
-/// Whoever hears from many endpoints that serve would see that some drain, and leaves discovery more time for the others.
+/// A sidecar that gets responses from many endpoints would notice if some drained, so it leaves discovery more time for the
+/// others.
 #[test]
-fn calls_are_further_apart_while_the_list_is_borne_out() {
+fn calls_are_further_apart_while_the_list_is_corroborated() {
     let gap = |corroborated: bool| {
         let mut schedule = Schedule::new(3);
         schedule.configure(false, Duration::from_secs(10));
@@ -393,18 +394,18 @@
 }
 
 #[test]
-fn a_list_is_borne_out_by_endpoints_that_served_lately_while_none_turn_requests_away() {
+fn a_list_is_corroborated_by_endpoints_that_served_recently_while_fewer_than_two_reject_requests() {
     let began = Instant::now();
     let staleness = Staleness::default();
     for endpoint in 0..12 {
-        assert!(!staleness.is_corroborated(40, began), "{endpoint} are too few");
+        assert!(!staleness.is_corroborated(40, began), "{endpoint} endpoints are too few");
         staleness.record_response(EndpointId(endpoint), false, began);
     }
     assert!(staleness.is_corroborated(40, began));
-    assert!(!staleness.is_corroborated(400, began), "of a long list more are needed");
-    assert!(!staleness.is_corroborated(40, began + 4000 * MS), "that was too long ago");
+    assert!(!staleness.is_corroborated(400, began), "a long list needs more endpoints");
+    assert!(!staleness.is_corroborated(40, began + 4000 * MS), "the responses are too old");
     for endpoint in 20..22 {
         staleness.record_response(EndpointId(endpoint), true, began);
     }
-    assert!(!staleness.is_corroborated(40, began), "two turn requests away");
+    assert!(!staleness.is_corroborated(40, began), "two endpoints reject requests");
 }
--- a/crates/sidecar/tests/endpoint_list.rs
+++ b/crates/sidecar/tests/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The reader of endpoint lists: however a list is cut into pieces it yields the same records, each as soon as its last byte
-//! has come, with bounded memory and work.
+//! The reader of endpoint lists yields the same records however a list is cut into pieces, each record as soon as its last byte
+//! has arrived, with bounded memory and work.
 mod common;
 
 use cometcroft::EndpointState;
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-/// As many endpoints as the largest fleet has.
+/// Number of endpoints in the largest fleet.
 const ENDPOINTS: usize = 3200;
 
 fn record(i: usize, status: &str) -> Value {
@@ -23,16 +23,16 @@
     json!({"index": 41, "snapshot": true, "endpoints": records, "region": {"a": [1, {}]}})
 }
 
-/// Pushes a text in pieces of these lengths, repeated.
+/// Pushes a text in pieces of these lengths, which repeat.
 fn read_in_pieces(text: &str, pieces: &[usize]) -> ListReader {
     let (mut reader, mut rest) = (ListReader::default(), text.as_bytes());
     for &length in pieces.iter().cycle() {
         if rest.is_empty() {
             break;
         }
-        let (piece, behind) = rest.split_at(length.min(rest.len()));
+        let (piece, remaining) = rest.split_at(length.min(rest.len()));
         reader.push(piece).expect("well formed");
-        rest = behind;
+        rest = remaining;
     }
     reader
 }
@@ -40,7 +40,7 @@
 proptest! {
     #![proptest_config(common::fixed(300))]
     #[test]
-    fn a_list_reads_the_same_however_it_is_cut(
+    fn a_list_reads_the_same_however_it_is_split(
         pieces in proptest::collection::vec(1usize..400, 1..20),
         records in 0usize..40,
         indented in any::<bool>(),
@@ -52,17 +52,17 @@
         prop_assert_eq!(reader.finish().expect("whole"), EndpointList::from_value(&list).expect("whole"));
     }
 
-    /// No bytes make it panic, or hold more than the bound beyond the records.
+    /// No input makes the reader panic, and an error is final.
     #[test]
-    fn any_bytes_are_read_or_refused(
+    fn arbitrary_bytes_are_read_or_rejected(
         bytes in proptest::collection::vec(proptest::sample::select(b"{}[],:\"\\ 0aeindxtrusfl".to_vec()), 0..200),
     ) {
         let mut reader = ListReader::default();
-        let mut refused = false;
+        let mut failed = false;
         for byte in bytes {
             let result = reader.push(&[byte]);
-            prop_assert!(!(refused && result.is_ok()), "what was refused stays refused");
-            refused = result.is_err();
+            prop_assert!(!(failed && result.is_ok()), "the reader recovered from an error");
+            failed = result.is_err();
         }
         let _ = reader.partial_record();
         let _ = reader.finish();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_record_is_there_with_its_last_byte_and_not_before() {
+fn a_record_is_available_with_its_last_byte_and_not_before() {
     let text = serde_json::to_string(&list(5)).expect("text");
     let mut reader = ListReader::default();
     let mut ends = Vec::new();
@@ -89,18 +89,17 @@
     assert_eq!(ends, (0..5).map(record_end).collect::<Vec<usize>>());
 }
 
-/// The work for a list grows with its length alone, whatever the pieces it comes in: no byte of it is given to the parser
-/// more than a few times.
+/// Guards against parsing a record again with each piece that arrives: no byte is passed to the parser more than a few times.
 #[test]
-fn the_work_for_a_long_list_is_bounded_by_its_length() {
+fn the_parsing_work_is_linear_in_the_length_of_the_list() {
     let text = serde_json::to_string_pretty(&list(ENDPOINTS)).expect("text");
     for pieces in [[1].as_slice(), &[7, 100], &[1460], &[32 * 1024], &[usize::MAX]] {
         let reader = read_in_pieces(&text, pieces);
         assert_eq!(reader.records().len(), ENDPOINTS);
-        // Each record here holds three braces: one in a string, one of an inner value, its own.
+        // Each record contains three closing braces: one in a string, one of an inner value and its own.
         assert!(
             reader.parsed_bytes() <= 3 * text.len() as u64,
-            "{} of {} in {pieces:?}",
+            "parsed {} bytes of a list of {} in pieces of {pieces:?}",
             reader.parsed_bytes(),
             text.len()
         );
@@ -108,7 +107,7 @@
 }
 
 #[test]
-fn what_is_no_list_is_refused_with_its_place() {
+fn an_invalid_list_is_rejected_with_its_position() {
     let read = |text: &str| {
         let mut reader = ListReader::default();
         reader.push(text.as_bytes()).and_then(|()| reader.finish())
@@ -142,7 +141,7 @@
 }
 
 #[test]
-fn what_bars_needs_no_address_and_is_kept_beside_records_that_cannot_be_taken() {
+fn exclusions_need_no_address_and_are_kept_beside_invalid_records() {
     let mut reader = ListReader::default();
     let text = r#"{"index":1,"snapshot":true,"endpoints":[7,{"name":"a","status":"draining"},{"name":"b"},{"name":"c","status":"removed"}]}"#;
     reader.push(text.as_bytes()).expect("JSON");
--- a/crates/sidecar/tests/freshness.rs
+++ b/crates/sidecar/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! How long a list is used that discovery does not confirm.
+//! How long an endpoint list stays valid without a confirmation by discovery.
 #![allow(clippy::disallowed_methods)]
 
 use cometcroft_sidecar::freshness::Freshness;
@@ -8,7 +8,7 @@
 mod common;
 
 const MS: Duration = Duration::from_millis(1);
-/// A change counts as told so long after discovery had it and could be reached.
+/// How long after discovery had a change, and could be reached, the change counts as delivered.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 
 fn started() -> (Freshness, Instant) {
@@ -16,9 +16,9 @@
     (Freshness::default(), now)
 }
 
-/// Guards against issue 52: a process that has just started relied on the list it was given, whatever its age.
+/// Guards against issue 52: a process that had just started relied on the list it was given, whatever its age.
 #[test]
-fn the_list_that_a_process_is_started_with_opens_nothing_before_discovery_answers() {
+fn the_initial_list_allows_nothing_before_discovery_answers() {
     let (freshness, began) = started();
     assert!(!freshness.allows(None, began));
     freshness.record_call_end();
@@ -27,32 +27,33 @@
     assert!(freshness.allows(None, began + 300 * MS));
 }
 
-/// Guards against answers that were made before a change and came long after it.
+/// Guards against relying on responses that were written before a change and arrived long after it.
 #[test]
 fn a_list_is_as_old_as_the_call_that_confirmed_it() {
     let (freshness, began) = started();
     let called = began + 10_000 * MS;
-    // Whenever its answer came. A process may be held up for 0.15 s between its look at the clock and a write.
+    // The time at which the response arrived does not matter. A process may be delayed by 0.15 s between reading the clock and
+    // a write.
     freshness.record_confirmation(called);
     assert!(freshness.allows(None, called + NOTIFICATION_DEADLINE - 160 * MS));
     assert!(!freshness.allows(None, called + NOTIFICATION_DEADLINE - 150 * MS));
-    // An answer to an older call, which comes later, takes nothing back.
+    // A later response to an earlier call does not shorten the validity.
     freshness.record_confirmation(called - 2000 * MS);
     assert!(freshness.allows(None, called + NOTIFICATION_DEADLINE - 160 * MS));
 }
 
 #[test]
-fn an_endpoint_that_took_a_request_lately_takes_another() {
+fn an_endpoint_that_recently_accepted_a_request_may_get_another() {
     let (freshness, began) = started();
     let now = began + 20_000 * MS;
     assert!(freshness.allows(Some(now - 3000 * MS), now));
-    // It may have begun to drain since and may go on taking requests for a while.
+    // It may have begun to drain since then, and a draining endpoint may go on accepting requests for a while.
     assert!(!freshness.allows(Some(now - 3500 * MS), now));
 }
 
-/// Guards against issue 52: an absence of answers, however long and of whatever kind, opened every endpoint.
+/// Guards against issue 52: failed calls, of any kind and for any time, opened every endpoint.
 #[test]
-fn once_the_list_has_lapsed_only_an_answer_opens_endpoints_without_evidence() {
+fn once_the_list_has_expired_only_a_confirmation_opens_endpoints_without_evidence() {
     let (freshness, began) = started();
     let answered = began + 10_000 * MS;
     freshness.record_confirmation(answered);
@@ -65,10 +66,10 @@
 }
 
 #[test]
-fn what_an_agent_that_was_asked_does_not_tell_does_not_count_as_told() {
+fn pushed_lists_are_valid_without_end_once_the_agent_was_called() {
     let (freshness, began) = started();
     freshness.configure(true);
-    // What it has counts from the first moment of a process.
+    // A change that the agent has counts as delivered from the start of the process, so nothing begins before the first call.
     assert!(!freshness.allows(None, began) && freshness.validity(began).is_some());
     freshness.record_call_end();
     assert!(freshness.allows(None, began + 60_000 * MS) && freshness.validity(began).is_none());
@@ -76,20 +77,21 @@
 
 proptest! {
     #![proptest_config(common::fixed(2000))]
-    /// Whenever answers come: nothing begins by the list alone when a change right after the last one may count as told.
+    /// Whenever responses arrive, the list alone allows nothing once a change right after the last response may count as
+    /// delivered.
     #[test]
-    fn nothing_begins_when_a_change_may_count_as_told(
+    fn nothing_begins_once_an_unknown_change_may_count_as_delivered(
         pauses in proptest::collection::vec(0u32..9000, 1..20),
-        asked in 0u32..9000,
+        after in 0u32..9000,
     ) {
         let (freshness, began) = started();
-        let (mut now, mut told) = (began, began + NOTIFICATION_DEADLINE);
+        let (mut now, mut delivered) = (began, began + NOTIFICATION_DEADLINE);
         for pause in pauses {
             now += pause * MS;
             freshness.record_confirmation(now);
-            told = now + NOTIFICATION_DEADLINE;
+            delivered = now + NOTIFICATION_DEADLINE;
         }
-        let at = now + asked * MS;
-        prop_assert!(at < told || !freshness.allows(None, at));
+        let at = now + after * MS;
+        prop_assert!(at < delivered || !freshness.allows(None, at));
     }
 }
--- a/crates/sidecar/tests/long_lists.rs
+++ b/crates/sidecar/tests/long_lists.rs
@@ -1,5 +1,5 @@
-//! Lists of thousands of endpoints that arrive slowly, in part or not at all: whatever becomes of the call, nothing begins at
-//! an endpoint once the bytes that bar it have arrived.
+//! Lists of thousands of endpoints that arrive slowly, in part or not at all. However the call ends, no request begins at an
+//! endpoint once the bytes of the record that excludes it have arrived.
 #![allow(clippy::disallowed_methods)]
 mod common;
 
@@ -11,9 +11,9 @@
 use tokio::net::TcpListener;
 
 const MS: Duration = Duration::from_millis(1);
-/// As many endpoints as the largest fleet has.
+/// Number of endpoints in the largest fleet.
 const ENDPOINTS: usize = 3200;
-/// The grace of a drain in the settings, with the slack of the rules.
+/// The grace period of a drain in the settings, plus the slack of the rules.
 const GRACE: Duration = Duration::from_millis(300);
 
 /// How the body of a list is framed.
@@ -23,7 +23,7 @@
     Chunked,
 }
 
-/// A whole list of [`ENDPOINTS`] with the sidecar's one endpoint first; all others drain.
+/// A complete list of [`ENDPOINTS`], with the sidecar's only endpoint first; all others drain.
 fn long_list(sidecar: &Sidecar, index: i64, status: &str) -> String {
     let mut rows = row(sidecar, status);
     for i in 1..ENDPOINTS {
@@ -46,7 +46,7 @@
     }
 }
 
-fn whole(list: &str) -> String {
+fn response(list: &str) -> String {
     head(Framing::Length, list) + list
 }
 
@@ -58,8 +58,8 @@
     }
 }
 
-/// Writes a body in so many pieces with pauses between them.
-async fn drip(mut peer: Peer, list: String, pieces: usize, pause: Duration) -> Peer {
+/// Writes a list as a body in this many pieces, with a pause after each.
+async fn write_slowly(mut peer: Peer, list: String, pieces: usize, pause: Duration) -> Peer {
     peer.say(&head(Framing::Length, &list)).await;
     for piece in list.as_bytes().chunks(list.len().div_ceil(pieces)) {
         peer.say(std::str::from_utf8(piece).expect("ASCII")).await;
@@ -68,65 +68,65 @@
     peer
 }
 
-/// A new configuration moves discovery.
+/// Loads a configuration that moves discovery to another address.
 fn move_to(sidecar: &Sidecar, elsewhere: &TcpListener) {
     let at = elsewhere.local_addr().expect("an address").to_string();
     let known = changes(1, "").replace("false", "true");
     let reloaded = Config::parse(&common::config(&sidecar.address, &at, &known), |_| None);
-    sidecar.control.reload(reloaded, &sidecar.counters).expect("it is taken over");
+    sidecar.control.reload(reloaded, &sidecar.counters).expect("a valid configuration");
 }
 
-/// A list that keeps coming for three seconds: its first record binds when it has arrived, not at the end.
+/// A list takes three seconds to arrive. Its first record takes effect when that has arrived, not at the end of the list.
 #[test]
-fn a_drain_at_the_head_of_a_long_list_binds_while_the_list_still_arrives() {
+fn a_drain_at_the_head_of_a_long_list_takes_effect_while_the_list_still_arrives() {
     story(|sidecar| async move {
         let mut discovery = next(&sidecar.discovery).await;
         discovery.hear().await;
         let list = long_list(&sidecar, 2, "draining");
-        let arriving = tokio::task::spawn_local(drip(discovery, list, 100, 30 * MS));
+        let arriving = tokio::task::spawn_local(write_slowly(discovery, list, 100, 30 * MS));
         Tokio.sleep(GRACE).await;
-        assert!(!reaches(&sidecar).await, "it was told so long ago");
+        assert!(!reaches(&sidecar).await, "the drain arrived a grace period ago");
         let mut discovery = arriving.await.expect("it is read");
         assert!(discovery.hear().await.contains("?from=2&"), "the list was read to its end");
     });
 }
 
-/// A list that takes longer than any call may take to be answered is read to its end, as long as it keeps coming, and no
-/// other call is made meanwhile. It says nothing of what has changed in the 6 s for which it was on its way, so nothing begins
-/// until the next call, which does not wait, has confirmed it.
+/// A list that takes longer than the timeout of any call is read to its end as long as it keeps arriving, and no other call is
+/// made meanwhile. It says nothing about changes during the 6 s that it took, so no request begins until the next call, which
+/// is not held, has confirmed it.
 #[test]
-fn a_list_that_keeps_coming_is_never_given_up() {
+fn a_list_that_keeps_arriving_is_never_given_up() {
     story(|sidecar| async move {
         let mut discovery = next(&sidecar.discovery).await;
         discovery.hear().await;
         let list = long_list(&sidecar, 2, "up");
-        let mut discovery = drip(discovery, list, 125, 50 * MS).await;
+        let mut discovery = write_slowly(discovery, list, 125, 50 * MS).await;
         assert!(discovery.hear().await.contains("?from=2&hold_ms=0 "), "the list was taken");
         assert_eq!(sidecar.counters.discovery_calls.get(), 2);
         assert!(!reaches(&sidecar).await);
-        discovery.say(&whole(&changes(2, ""))).await;
+        discovery.say(&response(&changes(2, ""))).await;
         assert!(discovery.hear().await.contains("?from=2&"));
         assert!(reaches(&sidecar).await);
     });
 }
 
-/// The same where lists are pushed: the agent answers at once, and its list may take its time.
+/// The same if lists are pushed: the agent must answer at once, but its list may take long to arrive.
 #[test]
 fn a_long_list_of_an_agent_is_read_to_its_end() {
     story_with(pushed, |sidecar| async move {
         let mut agent = next(&sidecar.discovery).await;
         agent.hear().await;
         let list = long_list(&sidecar, 2, "draining");
-        let mut agent = drip(agent, list, 30, 30 * MS).await;
+        let mut agent = write_slowly(agent, list, 30, 30 * MS).await;
         assert!(agent.hear().await.contains("?from=2&"), "the list was taken");
         assert_eq!(sidecar.counters.discovery_silent.get(), 0);
         assert!(!reaches(&sidecar).await);
     });
 }
 
-/// A list pauses: the rest is asked for beside it, what came binds, and the list may go on.
+/// A list stalls: a second call is made, the records that have arrived take effect, and the list may still continue.
 #[test]
-fn a_list_that_pauses_is_asked_for_once_more_and_may_still_go_on() {
+fn a_stalled_list_causes_a_second_call_and_may_still_continue() {
     story(|sidecar| async move {
         let mut slow = next(&sidecar.discovery).await;
         slow.hear().await;
@@ -135,21 +135,21 @@
         slow.say(&head(Framing::Length, &list)).await;
         slow.say(first).await;
         let mut second = next(&sidecar.discovery).await;
-        assert!(second.hear().await.contains("?from=1&hold_ms=0 "), "what is owed is asked for at once");
+        assert!(second.hear().await.contains("?from=1&hold_ms=0 "), "the second call must not be held");
         assert!(!reaches(&sidecar).await);
         slow.say(rest).await;
         Tokio.sleep(50 * MS).await;
-        second.say(&whole(&changes(2, ""))).await;
-        assert!(second.hear().await.contains("?from=2&"), "the list that went on was taken");
+        second.say(&response(&changes(2, ""))).await;
+        assert!(second.hear().await.contains("?from=2&"), "the list that continued was not applied");
         assert!(!reaches(&sidecar).await);
         let counters = &sidecar.counters;
         assert_eq!((counters.discovery_calls.get(), counters.discovery_bad.get()), (3, 0));
     });
 }
 
-/// However a list ends early and however it is framed, the drains that came bind.
+/// However a list is truncated and framed, the drains that have arrived take effect.
 #[test]
-fn of_a_list_that_breaks_off_the_drains_bind_whatever_its_framing() {
+fn drains_of_a_truncated_list_take_effect_whatever_its_framing() {
     for framing in [Framing::Length, Framing::Chunked] {
         for reset in [false, true] {
             story(|sidecar| async move {
@@ -165,16 +165,16 @@
                     drop(discovery)
                 }
                 let mut again = next(&sidecar.discovery).await;
-                assert!(again.hear().await.contains("?from=1&hold_ms=0 "), "the rest is owed");
+                assert!(again.hear().await.contains("?from=1&hold_ms=0 "), "the next call must not be held");
                 assert!(!reaches(&sidecar).await, "{framing:?}, reset: {reset}");
             });
         }
     }
 }
 
-/// A list that stops for good is given up; what came of it binds.
+/// A list that stalls for good is given up, but the drains that have arrived take effect.
 #[test]
-fn of_a_list_that_stops_the_drains_bind_when_its_call_is_given_up() {
+fn drains_of_a_list_that_stalls_for_good_take_effect() {
     story(|sidecar| async move {
         let mut discovery = next(&sidecar.discovery).await;
         discovery.hear().await;
@@ -183,65 +183,71 @@
         write(&mut discovery, Framing::Chunked, &list[..list.len() / 3]).await;
         let mut second = next(&sidecar.discovery).await;
         second.hear().await;
-        assert_eq!(discovery.hear().await, "", "the first call is given up");
+        assert_eq!(discovery.hear().await, "", "the first call was not given up");
         assert!(!reaches(&sidecar).await);
     });
 }
 
-/// A new configuration moves discovery while a list arrives: its call is dropped, and what came of the list binds.
+/// A new configuration moves discovery while a list arrives: its call is abandoned, but the drains that have arrived take
+/// effect.
 #[test]
-fn of_a_list_that_arrives_as_discovery_moves_the_drains_bind() {
+fn drains_of_a_list_that_arrives_while_discovery_moves_take_effect() {
     story(|sidecar| async move {
         let mut discovery = next(&sidecar.discovery).await;
         discovery.hear().await;
         let list = long_list(&sidecar, 2, "draining");
-        let arriving = tokio::task::spawn_local(drip(discovery, list, 100, 30 * MS));
+        let arriving = tokio::task::spawn_local(write_slowly(discovery, list, 100, 30 * MS));
         Tokio.sleep(60 * MS).await;
         let elsewhere = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         move_to(&sidecar, &elsewhere);
         let mut moved = next(&elsewhere).await;
-        assert!(moved.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"), "the whole list");
+        assert!(
+            moved.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"),
+            "the complete list is requested"
+        );
         arriving.abort();
-        assert!(!reaches(&sidecar).await, "it was told");
+        assert!(!reaches(&sidecar).await, "the list has arrived");
     });
 }
 
-/// The same where the list has come whole and nobody has read it when discovery moves, whether it names the endpoint as
-/// draining or leaves it out.
+/// The same if the complete list has arrived unread when discovery moves, whether it lists the endpoint as draining or omits it.
 #[test]
-fn of_a_list_that_lies_unread_as_discovery_moves_the_drains_bind() {
-    for left_out in [false, true] {
+fn drains_of_a_list_that_is_unread_when_discovery_moves_take_effect() {
+    for omitted in [false, true] {
         story(move |sidecar| async move {
             let mut discovery = next(&sidecar.discovery).await;
             discovery.hear().await;
             let elsewhere = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let list = match left_out {
+            let list = match omitted {
                 true => r#"{"index":2,"snapshot":true,"endpoints":[]}"#.to_owned(),
                 false => changes(2, &row(&sidecar, "draining")),
             };
-            // No other task runs between the two.
-            discovery.say(&whole(&list)).await;
+            // No other task runs between the two statements.
+            discovery.say(&response(&list)).await;
             move_to(&sidecar, &elsewhere);
             let mut moved = next(&elsewhere).await;
-            assert!(moved.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"), "the whole list");
-            assert!(!reaches(&sidecar).await, "it was told");
-            // What the old address barred is open again by the list of the new one, whatever its version.
+            assert!(
+                moved.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"),
+                "the complete list is requested"
+            );
+            assert!(!reaches(&sidecar).await, "the list has arrived");
+            // The list of the new address reopens endpoints that the old one excluded, whatever its version.
             moved
-                .say(&whole(&format!(
+                .say(&response(&format!(
                     r#"{{"index":1,"snapshot":true,"endpoints":[{}]}}"#,
                     row(&sidecar, "up")
                 )))
                 .await;
             moved.hear().await;
-            assert!(reaches(&sidecar).await, "left out: {left_out}");
+            assert!(reaches(&sidecar).await, "omitted: {omitted}");
         });
     }
 }
 
-/// The same where the rest of the list is on its way yet when discovery moves: that nothing of it lies unread says nothing of
-/// what has been written. Seen with lists longer than a receive buffer, of which the rest was dropped with its connection.
+/// The same if the rest of the list is still in transit when discovery moves: an empty receive buffer does not show that all that
+/// was written has been read. Seen with lists longer than a receive buffer, whose rest was lost with the connection.
 #[test]
-fn of_a_list_that_is_on_its_way_as_discovery_moves_the_drains_bind() {
+fn drains_of_a_list_that_is_in_transit_when_discovery_moves_take_effect() {
     for framing in [Framing::Length, Framing::Chunked] {
         story(move |sidecar| async move {
             let mut discovery = next(&sidecar.discovery).await;
@@ -254,38 +260,41 @@
             Tokio.sleep(20 * MS).await;
             move_to(&sidecar, &elsewhere);
             let mut moved = next(&elsewhere).await;
-            assert!(moved.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"), "the whole list");
+            assert!(
+                moved.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"),
+                "the complete list is requested"
+            );
             write(&mut discovery, framing, rest).await;
             Tokio.sleep(20 * MS).await;
-            assert!(!reaches(&sidecar).await, "{framing:?}: it was told");
+            assert!(!reaches(&sidecar).await, "{framing:?}: the drain has arrived");
         });
     }
 }
 
-/// A whole list has been read, and discovery moves before its call is known to have ended: what the list leaves out is barred
-/// all the same, whoever owns its call by then.
+/// A complete list has been read, but discovery moves before the end of its call is processed: endpoints that the list omits are
+/// excluded all the same.
 #[test]
-fn of_a_list_that_has_just_been_read_as_discovery_moves_what_it_leaves_out_is_barred() {
+fn endpoints_that_a_list_omits_are_excluded_if_discovery_moves_right_after_it_was_read() {
     for turns in 0..12 {
         story(move |sidecar| async move {
             let mut discovery = next(&sidecar.discovery).await;
             discovery.hear().await;
             let elsewhere = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            discovery.say(&whole(r#"{"index":2,"snapshot":true,"endpoints":[]}"#)).await;
+            discovery.say(&response(r#"{"index":2,"snapshot":true,"endpoints":[]}"#)).await;
             for _ in 0..turns {
                 tokio::task::yield_now().await;
             }
             move_to(&sidecar, &elsewhere);
             next(&elsewhere).await.hear().await;
-            assert!(!reaches(&sidecar).await, "it was told, {turns} turns before the move");
+            assert!(!reaches(&sidecar).await, "the list arrived {turns} turns before the move");
         });
     }
 }
 
-/// After a move no version is held. Of two whole lists that are asked for then the newer one stops; the older one, which comes
-/// whole behind it, does not open what the newer one barred.
+/// After a move no version is known. Of two complete lists requested then, the newer one stalls; the older one, which completes
+/// afterwards, must not open what the newer one excluded.
 #[test]
-fn after_a_move_an_older_list_does_not_open_what_a_newer_one_barred() {
+fn after_a_move_an_older_list_does_not_open_what_a_newer_one_excluded() {
     story(|sidecar| async move {
         next(&sidecar.discovery).await.hear().await;
         let elsewhere = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -304,16 +313,16 @@
         Tokio.sleep(20 * MS).await;
         older.say(rest).await;
         assert!(older.hear().await.contains("?from=29&"));
-        assert!(!reaches(&sidecar).await, "version 30 barred it");
-        older.say(&whole(&changes(30, &row(&sidecar, "up")))).await;
+        assert!(!reaches(&sidecar).await, "version 30 excluded it");
+        older.say(&response(&changes(30, &row(&sidecar, "up")))).await;
         assert!(older.hear().await.contains("?from=30&"));
         assert!(reaches(&sidecar).await);
     });
 }
 
-/// One record that cannot be read spoils its list, and not what the list bars before and behind it.
+/// One invalid record invalidates its list, but not the exclusions before and after it.
 #[test]
-fn a_record_that_cannot_be_read_hides_no_drain() {
+fn an_invalid_record_hides_no_drain() {
     for odd in ["{\"name\":\"odd\",\"address\":\"127.0.0.1:1\",\"status\":\"odd\"}", "7", "{\"name\":{}}"] {
         for before in [false, true] {
             story(|sidecar| async move {
@@ -321,9 +330,9 @@
                 discovery.hear().await;
                 let own = row(&sidecar, "draining");
                 let rows = if before { format!("{odd},{own}") } else { format!("{own},{odd}") };
-                discovery.say(&whole(&changes(2, &rows))).await;
+                discovery.say(&response(&changes(2, &rows))).await;
                 let mut again = next(&sidecar.discovery).await;
-                assert!(again.hear().await.contains("?from=1&"), "it is asked for again");
+                assert!(again.hear().await.contains("?from=1&"), "the list is requested again");
                 assert!(!reaches(&sidecar).await, "{odd}, first: {before}");
                 assert_eq!(sidecar.counters.discovery_bad.get(), 1);
             });
@@ -331,9 +340,9 @@
     }
 }
 
-/// A list that broke off told a drain; an answer that is older than that list does not open the endpoint again.
+/// A truncated list contained a drain. A response that is older than that list must not reopen the endpoint.
 #[test]
-fn an_older_answer_does_not_open_what_a_newer_list_barred_before_it_broke_off() {
+fn an_older_list_does_not_open_what_a_newer_truncated_one_excluded() {
     for status in ["draining", "removed"] {
         story(|sidecar| async move {
             let mut broken = next(&sidecar.discovery).await;
@@ -345,20 +354,20 @@
             broken.reset();
             let mut older = next(&sidecar.discovery).await;
             older.hear().await;
-            older.say(&whole(&changes(8, &row(&sidecar, "up")).replace("false", "true"))).await;
+            older.say(&response(&changes(8, &row(&sidecar, "up")).replace("false", "true"))).await;
             assert!(older.hear().await.contains("?from=8&"));
             assert!(!reaches(&sidecar).await, "{status}");
-            older.say(&whole(&changes(9, &row(&sidecar, "up")))).await;
+            older.say(&response(&changes(9, &row(&sidecar, "up")))).await;
             assert!(older.hear().await.contains("?from=9&"));
-            assert!(reaches(&sidecar).await, "the list itself, whole, opens it");
+            assert!(reaches(&sidecar).await, "the complete list itself opens it");
         });
     }
 }
 
-/// What is known binds at once: a process may be held up between its clock and its write, and the grace has to cover that,
-/// however short it is.
+/// A drain takes effect as soon as it is known: a process may be delayed between reading the clock and a write, and even a short
+/// grace period has to cover that.
 #[test]
-fn a_known_drain_bars_at_once_however_short_its_grace() {
+fn a_known_drain_takes_effect_at_once_however_short_its_grace() {
     let short_grace = |text: String| {
         slow_dials(text).replace("\"drain-grace-ns\":250000000", "\"drain-grace-ns\":100000000")
     };
@@ -368,17 +377,17 @@
         let mut client = Peer::to(&sidecar).await;
         client.say(PLAN).await;
         sidecar.gates.waits().await;
-        discovery.say(&whole(&changes(2, &row(&sidecar, "draining")))).await;
+        discovery.say(&response(&changes(2, &row(&sidecar, "draining")))).await;
         assert!(discovery.hear().await.contains("?from=2&"));
         sidecar.gates.open(sidecar.server());
         let mut server = next(&sidecar.backend).await;
         assert!(client.hear().await.starts_with("HTTP/1.1 503"));
-        assert_eq!(server.hear().await, "", "not a byte");
+        assert_eq!(server.hear().await, "", "no byte may be sent");
         assert_eq!(sidecar.counters.dispatch_barred.get(), 1);
     });
 }
 
-/// An endpoint moves while a connection to its old address is made: nothing is sent to the old one.
+/// An endpoint moves while a connection to its old address is being made: nothing is sent to the old address.
 #[test]
 fn nothing_is_sent_to_the_old_address_of_an_endpoint_that_moved() {
     story_with(slow_dials, |sidecar| async move {
@@ -388,11 +397,11 @@
         client.say(PLAN).await;
         sidecar.gates.waits().await;
         let elsewhere = row(&sidecar, "up").replace(&sidecar.server().to_string(), "127.0.0.1:1");
-        discovery.say(&whole(&changes(2, &elsewhere))).await;
+        discovery.say(&response(&changes(2, &elsewhere))).await;
         assert!(discovery.hear().await.contains("?from=2&"));
         sidecar.gates.open(sidecar.server());
         let mut old = next(&sidecar.backend).await;
-        assert_eq!(old.hear().await, "", "not a byte");
+        assert_eq!(old.hear().await, "", "no byte may be sent");
         client.hear().await;
     });
 }
--- a/crates/sidecar/tests/outage_model.rs
+++ b/crates/sidecar/tests/outage_model.rs
@@ -1,7 +1,7 @@
-//! A model of discovery against the machines that decide when it is called and how long a list holds: whatever discovery does,
-//! nothing is opened by the list once a change that it lacks counts as told.
+//! Runs the schedule of calls and the validity of the list against a model of discovery. Whatever discovery does, the list must
+//! not be valid any more once a change that it lacks counts as delivered.
 //!
-//! The judge knows the protocol's page alone: a change counts as told 6 s after discovery had it and could be reached.
+//! The checker uses only the rule of the protocol: a change counts as delivered 6 s after discovery had it and could be reached.
 #![allow(clippy::disallowed_methods)]
 
 use cometcroft_sidecar::discovery::schedule::{Call, CallId, Failure, Schedule, Time};
@@ -10,30 +10,31 @@
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
-/// The limit of the protocol's page, and how long a process may be held up between its look at the clock and a write.
+/// The limit of the protocol.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-const HELD_UP: Duration = Duration::from_millis(150);
+/// How long a process may be delayed between reading the clock and a write.
+const MAX_WRITE_DELAY: Duration = Duration::from_millis(150);
 const ASK_WITHIN: Duration = Duration::from_secs(10);
 const TIMELINES: u64 = 2_000;
 const STEP: Duration = Duration::from_millis(10);
 
-/// What discovery does with calls for a while.
+/// How discovery treats calls during a part of the timeline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Service {
-    /// Answers, this long after it made the answer.
+    /// Answers; the response arrives this long after it was written.
     Answers(Duration),
-    /// Has calls wait for 2 s and refuses them.
+    /// Overloaded: lets calls wait for 2 s and rejects them.
     Crowded,
-    /// Nobody listens.
+    /// Connections are refused.
     Down,
-    /// Says nothing.
+    /// Does not respond.
     Silent,
-    /// Cuts answers off.
+    /// Truncates responses.
     CutsOff,
 }
 
 impl Service {
-    /// Whether news can be reached: a service that is up, however badly it answers.
+    /// Whether the service counts as reachable, however badly it answers.
     fn is_up(self) -> bool {
         self != Service::Down
     }
@@ -49,14 +50,14 @@
     }
 }
 
-/// A drawn day of discovery.
+/// A random history of discovery.
 #[derive(Debug)]
 struct Timeline {
-    /// What it does from each of these times on.
+    /// How it treats calls from each of these times on.
     spans: Vec<(Time, Service)>,
-    /// When it has each version, from 1 on.
+    /// When each version, from 1 on, is available.
     changes: Vec<Time>,
-    /// When the sidecar starts, with version 0.
+    /// When the sidecar starts with version 0.
     start: Time,
     end: Time,
 }
@@ -70,7 +71,7 @@
         for _ in 0..rng.usize(3..9) {
             spans.push((at, Service::draw(&mut rng)));
             at += millis(&mut rng, 12_000);
-            // Just before the next span, or right after it begins.
+            // Changes come just before the next span or right after its start.
             for _ in 0..rng.u32(0..3) {
                 changes.push((at + millis(&mut rng, 2_000)).saturating_sub(1_000 * MS));
             }
@@ -88,8 +89,8 @@
         self.changes.iter().filter(|change| **change <= at).count()
     }
 
-    /// When the change of this version counts as told.
-    fn told(&self, version: usize) -> Option<Time> {
+    /// When the change to this version counts as delivered.
+    fn delivered(&self, version: usize) -> Option<Time> {
         let change = self.changes[version - 1];
         let reached = std::iter::once(change).chain(self.spans.iter().map(|(from, _)| *from));
         reached
@@ -99,22 +100,22 @@
     }
 }
 
-/// How a planted defect of one of the incidents takes what it hears.
+/// An injected defect, each modelled on an incident.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Defect {
     /// A refused connection confirms the list that is held.
     Refusal,
-    /// Three calls that fail confirm it.
+    /// Three failed calls in a row confirm it.
     Silence,
-    /// The list given at the start is confirmed by it.
+    /// The start confirms the list that the process is started with.
     Start,
-    /// An answer confirms the list as of its arrival.
+    /// A response confirms the list as of its arrival, not as of the call.
     Arrival,
-    /// An answer that was cut off confirms it.
+    /// A truncated response confirms it.
     CutOff,
 }
 
-/// A call in flight: what it ends with, and when.
+/// A call in flight, with its result.
 #[derive(Debug)]
 struct InFlight {
     id: CallId,
@@ -125,13 +126,13 @@
 
 #[derive(Debug, Clone, Copy)]
 enum End {
-    /// With this version.
+    /// The response contains this version.
     Answer(usize),
     Failure(Failure),
 }
 
-/// A sidecar's machines on a timeline.
-struct Played<'a> {
+/// A sidecar's schedule and freshness on a timeline.
+struct Simulation<'a> {
     timeline: &'a Timeline,
     defect: Option<Defect>,
     schedule: Schedule,
@@ -140,23 +141,33 @@
     in_flight: Vec<InFlight>,
     held: usize,
     failures: u32,
-    /// For how long the list held in all.
-    opened: Duration,
+    /// How long the list was valid in all.
+    valid_time: Duration,
 }
 
-impl Played<'_> {
-    fn new(timeline: &Timeline, seed: u64, defect: Option<Defect>) -> Played<'_> {
+impl Simulation<'_> {
+    fn new(timeline: &Timeline, seed: u64, defect: Option<Defect>) -> Simulation<'_> {
         let (schedule, freshness) = (Schedule::new(seed), Freshness::default());
         let origin = Instant::now();
-        let (in_flight, opened) = (Vec::new(), Duration::ZERO);
-        Played { timeline, defect, schedule, freshness, origin, in_flight, held: 0, failures: 0, opened }
+        let (in_flight, valid_time) = (Vec::new(), Duration::ZERO);
+        Simulation {
+            timeline,
+            defect,
+            schedule,
+            freshness,
+            origin,
+            in_flight,
+            held: 0,
+            failures: 0,
+            valid_time,
+        }
     }
 
     fn confirm(&self, as_of: Time) {
         self.freshness.record_confirmation(self.origin + as_of);
     }
 
-    /// Plays the day; the first instant at which the list opened what it should not have, if any.
+    /// Runs the timeline, and returns the first instant at which the list was valid although it must not have been, if any.
     fn run(&mut self) -> Option<Time> {
         self.schedule.configure(false, ASK_WITHIN);
         let start = self.timeline.start;
@@ -171,7 +182,7 @@
                 self.call(call, now);
             }
             if self.freshness.list_evidence(self.origin + now).is_ok() {
-                self.opened += STEP;
+                self.valid_time += STEP;
                 if self.is_late(now) {
                     return Some(now);
                 }
@@ -183,7 +194,9 @@
 
     fn is_late(&self, now: Time) -> bool {
         let lacks = (self.held + 1)..=self.timeline.version(now);
-        lacks.into_iter().any(|version| self.timeline.told(version).is_some_and(|told| now + HELD_UP > told))
+        lacks.into_iter().any(|version| {
+            self.timeline.delivered(version).is_some_and(|delivered| now + MAX_WRITE_DELAY > delivered)
+        })
     }
 
     fn call(&mut self, call: Call, now: Time) {
@@ -194,7 +207,7 @@
         self.in_flight.push(InFlight { id: call.id, began: now, ends: now + after, end });
     }
 
-    /// How a call that begins now ends, and after what time.
+    /// After what time a call that begins now ends, and how.
     fn outcome(&self, call: &Call, now: Time) -> (Duration, End) {
         match self.timeline.service(now) {
             Service::Answers(delay) => {
@@ -248,7 +261,7 @@
         }
     }
 
-    /// What the planted defect makes of a call that failed.
+    /// Whether the injected defect takes this failure for a confirmation.
     fn takes_for_confirmation(&self, failure: Failure) -> bool {
         match self.defect {
             Some(Defect::Refusal) => failure == Failure::Unreachable,
@@ -259,16 +272,16 @@
     }
 }
 
-/// How many of these timelines are broken, and for how long the list held over all.
-fn broken(seeds: impl Iterator<Item = u64>, defect: Option<Defect>) -> (Vec<(u64, Time)>, Duration) {
-    let (mut broken, mut opened) = (Vec::new(), Duration::ZERO);
+/// The timelines in which the rule is violated, with the first time of it, and how long the list was valid over all timelines.
+fn violations(seeds: impl Iterator<Item = u64>, defect: Option<Defect>) -> (Vec<(u64, Time)>, Duration) {
+    let (mut violations, mut valid_time) = (Vec::new(), Duration::ZERO);
     for seed in seeds {
         let timeline = Timeline::draw(seed);
-        let mut played = Played::new(&timeline, seed, defect);
-        broken.extend(played.run().map(|at| (seed, at)));
-        opened += played.opened;
+        let mut simulation = Simulation::new(&timeline, seed, defect);
+        violations.extend(simulation.run().map(|at| (seed, at)));
+        valid_time += simulation.valid_time;
     }
-    (broken, opened)
+    (violations, valid_time)
 }
 
 fn timelines() -> u64 {
@@ -276,21 +289,24 @@
     named.map_or(TIMELINES, |text| text.parse().expect("OUTAGE_MODEL_TIMELINES is a number"))
 }
 
-/// Guards against every way in which an absence of answers could be taken for a confirmation.
+/// Guards against taking any kind of failed call for a confirmation.
 #[test]
-fn the_list_opens_nothing_once_a_change_that_it_lacks_counts_as_told() {
-    let (broken, opened) = broken(1..=timelines(), None);
-    assert_eq!(broken, [], "seeds and times");
-    let each = opened / u32::try_from(timelines()).expect("a small number");
-    assert!(each > 5_000 * MS, "the list holds for {each:?} in the mean, so the model tests something");
+fn the_list_is_not_valid_once_a_change_that_it_lacks_counts_as_delivered() {
+    let (violations, valid_time) = violations(1..=timelines(), None);
+    assert_eq!(violations, [], "seeds and times of violations");
+    let each = valid_time / u32::try_from(timelines()).expect("a small number");
+    assert!(
+        each > 5_000 * MS,
+        "the list was valid for a mean of {each:?}; the model tests little if it hardly ever is"
+    );
 }
 
 #[test]
-fn the_model_finds_each_planted_defect() {
-    let planted = [Defect::Refusal, Defect::Silence, Defect::Start, Defect::Arrival, Defect::CutOff];
-    for defect in planted {
-        let (broken, _) = broken(1..=500, Some(defect));
-        println!("{defect:?}: {} of 500", broken.len());
-        assert!(!broken.is_empty(), "{defect:?}");
+fn the_model_finds_each_injected_defect() {
+    let defects = [Defect::Refusal, Defect::Silence, Defect::Start, Defect::Arrival, Defect::CutOff];
+    for defect in defects {
+        let (violations, _) = violations(1..=500, Some(defect));
+        println!("{defect:?}: {} of 500", violations.len());
+        assert!(!violations.is_empty(), "{defect:?}");
     }
 }
