--- a/crates/sidecar/src/discovery/call.rs
+++ b/crates/sidecar/src/discovery/call.rs
@@ -4,9 +4,9 @@
 use super::call_state::SharedCallState;
 use crate::discovery_connections::DiscoveryConnections;
 use crate::endpoint_list::{EndpointList, EndpointRecord, ListError, ListReader};
-use crate::http::client::{self, Exchange};
-use crate::http::{Fault, Piece};
-use crate::sockets::send_promptly;
+use crate::http::client::{self, ResponseReader};
+use crate::http::{BodyPiece, ParseError};
+use crate::sockets::enable_nodelay;
 use bytes::{Bytes, BytesMut};
 use cometcroft_platform::{Elapsed, Platform, Stream};
 use std::cell::RefCell;
@@ -124,7 +124,7 @@
         Err(_) => return CallResult::unanswered(Outcome::TimedOut),
     };
     connections.add(&stream);
-    let (exchange, list) = (Exchange::streamed(MAX_LIST_BYTES), ListReader::default());
+    let (exchange, list) = (ResponseReader::streamed(MAX_LIST_BYTES), ListReader::default());
     let mut response = Response {
         platform,
         stream,
@@ -156,12 +156,12 @@
     // A call on a connection that was closed after the last response would count as a failure, so such a connection is not
     // used. Nothing is repeated here beyond that: repeating a call that discovery has seen would double its load when it is
     // busiest.
-    let mut stream = match idle.filter(Stream::quiet) {
+    let mut stream = match idle.filter(Stream::is_idle) {
         Some(stream) => stream,
         None => platform.timeout(CONNECT_TIMEOUT, platform.connect(request.address)).await??,
     };
-    send_promptly(&stream);
-    stream.write_all(&client::get(&request.target, "discovery")).await?;
+    enable_nodelay(&stream);
+    stream.write_all(&client::encode_get(&request.target, "discovery")).await?;
     Ok(stream)
 }
 
@@ -208,7 +208,7 @@
     platform: &'a P,
     /// Shared with [`DiscoveryConnections`], which checks it for unread input; never borrowed across an await.
     stream: Rc<RefCell<P::Stream>>,
-    exchange: Exchange,
+    exchange: ResponseReader,
     list: ListReader,
     /// When the first byte was read.
     first_byte: Option<Instant>,
@@ -248,7 +248,7 @@
 
     /// Reads more bytes; 0 at the end of the stream.
     async fn read(&mut self, until: Instant) -> Result<usize, End> {
-        if !self.exchange.begun() {
+        if !self.exchange.has_begun() {
             let read = self.read_first(until).await.map_err(|_| End::TimedOut)?;
             return read.map_err(|_| End::Unreachable);
         }
@@ -281,11 +281,11 @@
     }
 
     /// Processes the bytes that have arrived, and returns how the response ended, if it has.
-    fn process(&mut self, ended: bool) -> Result<Option<End>, Fault> {
+    fn process(&mut self, ended: bool) -> Result<Option<End>, ParseError> {
         let at = self.platform.now();
         if !self.is_list {
             let Some(head) = self.exchange.step(ended)? else {
-                return Ok((ended && !self.exchange.begun()).then_some(End::Unreachable));
+                return Ok((ended && !self.exchange.has_begun()).then_some(End::Unreachable));
             };
             if head.status != OK {
                 return Ok(Some(End::Rejected));
@@ -294,16 +294,16 @@
             if !self.push(&head.body, at) {
                 return Ok(Some(End::Broken));
             }
-            if head.bulk.is_none() {
+            if head.streamed.is_none() {
                 return Ok(Some(End::Complete));
             }
         }
         loop {
-            match self.exchange.piece(ended)? {
-                Piece::Bytes(bytes) if self.push(&bytes, at) => {}
-                Piece::Bytes(_) => return Ok(Some(End::Broken)),
-                Piece::End => return Ok(Some(End::Complete)),
-                Piece::More => return Ok(None),
+            match self.exchange.next_piece(ended)? {
+                BodyPiece::Bytes(bytes) if self.push(&bytes, at) => {}
+                BodyPiece::Bytes(_) => return Ok(Some(End::Broken)),
+                BodyPiece::End => return Ok(Some(End::Complete)),
+                BodyPiece::More => return Ok(None),
             }
         }
     }
--- a/crates/sidecar/src/discovery/call_reports.rs
+++ b/crates/sidecar/src/discovery/call_reports.rs
@@ -122,7 +122,7 @@
         let now = self.platform.now();
         if !excluded.is_empty() {
             self.excluded = true;
-            self.counters.bar_took(now.saturating_duration_since(at));
+            self.counters.record_exclusion_delay(now.saturating_duration_since(at));
             self.unreported.extend(excluded);
         }
         if is_due(self.exclusions_reported_at, now, EXCLUSION_REPORT_INTERVAL) {
--- a/crates/sidecar/src/discovery/mod.rs
+++ b/crates/sidecar/src/discovery/mod.rs
@@ -13,8 +13,8 @@
 use crate::endpoint_list::{EndpointList, ListError};
 use crate::endpoint_table::{ApplyResult, EndpointTable, ListUpdate};
 use crate::fleet::Fleet;
-use crate::lifecycle::Life;
-use crate::session::{Carrier, Host};
+use crate::lifecycle::Lifecycle;
+use crate::requests::{RequestDriver, Transport};
 use call::{CallRequest, CallResult, Outcome};
 use call_reports::{CallReport, CallReporter};
 use call_state::{CallState, SharedCallState};
@@ -76,11 +76,11 @@
 
 /// Keeps the endpoint list up to date, whether lists are polled or pushed to an agent, starting from `version` if a list is
 /// known. `seed` makes the calls of several sidecars differ. Runs until it is dropped.
-pub async fn watch<C: Carrier>(
-    host: Rc<Host<C>>,
+pub async fn watch<C: Transport>(
+    host: Rc<RequestDriver<C>>,
     endpoints: Rc<EndpointTable>,
     source: Rc<Source>,
-    life: Rc<Life<C::Platform>>,
+    lifecycle: Rc<Lifecycle<C::Platform>>,
     version: Option<i64>,
     seed: u64,
     fleet: Option<Rc<Fleet<C::Platform>>>,
@@ -94,7 +94,7 @@
         host,
         endpoints,
         source,
-        life,
+        lifecycle,
         fleet,
         schedule: Schedule::new(seed),
         from_version: version,
@@ -134,14 +134,14 @@
     }
 }
 
-struct Watcher<C: Carrier> {
+struct Watcher<C: Transport> {
     platform: C::Platform,
     origin: Instant,
     counters: Rc<Counters>,
-    host: Rc<Host<C>>,
+    host: Rc<RequestDriver<C>>,
     endpoints: Rc<EndpointTable>,
     source: Rc<Source>,
-    life: Rc<Life<C::Platform>>,
+    lifecycle: Rc<Lifecycle<C::Platform>>,
     fleet: Option<Rc<Fleet<C::Platform>>>,
     schedule: Schedule,
     /// The version from which the next call requests changes; `None` to request the complete list.
@@ -160,7 +160,7 @@
     report: UnboundedSender<CallReport<C::Platform>>,
 }
 
-impl<C: Carrier> Watcher<C> {
+impl<C: Transport> Watcher<C> {
     async fn run(mut self, mut reports: UnboundedReceiver<CallReport<C::Platform>>) {
         let (source, endpoints) = (self.source.clone(), self.endpoints.clone());
         endpoints.freshness().configure(source.delivery.get().pushed);
@@ -220,7 +220,7 @@
         let idle = self.idle.take();
         let task = self.platform.spawn(async move {
             if let Some(fleet) = &fleet {
-                fleet.calls().await;
+                fleet.wait_to_call_discovery().await;
             }
             let result = call::make(
                 &platform,
@@ -245,7 +245,7 @@
                 self.schedule.stalled(id, now);
             }
             CallReport::Excluded(entries) => {
-                self.host.tell(Event::EndpointList { scope: ListScope::Changes, entries })
+                self.host.handle_event(Event::EndpointList { scope: ListScope::Changes, entries })
             }
             CallReport::Ended { id, result, excluded } => self.call_ended(id, result, excluded),
         }
@@ -303,7 +303,7 @@
         }
         freshness.record_call_end();
         let is_valid = freshness.list_evidence(now).is_ok();
-        self.life.tell(|machine, _| machine.listed(!self.endpoints.is_empty(), is_valid));
+        self.lifecycle.update(|state, _| state.record_list(!self.endpoints.is_empty(), is_valid));
         self.notify_validity();
         self.log_state_change(failure);
         if let Some(failure) = failure {
@@ -337,7 +337,7 @@
                 }
                 let now = self.now();
                 self.schedule.answered(id, now);
-                self.host.tell(Event::EndpointList { scope: update.scope, entries: update.entries });
+                self.host.handle_event(Event::EndpointList { scope: update.scope, entries: update.entries });
                 None
             }
             ApplyResult::Older => {
@@ -358,7 +358,7 @@
     /// Notifies the decision module how long the list is valid.
     fn notify_validity(&self) {
         let validity = self.endpoints.freshness().validity(self.platform.now());
-        self.host.tell(Event::ListValidity(validity));
+        self.host.handle_event(Event::ListValidity(validity));
     }
 
     /// Logs that discovery answers again or no longer answers.
--- a/crates/sidecar/src/endpoint_table.rs
+++ b/crates/sidecar/src/endpoint_table.rs
@@ -290,8 +290,8 @@
             // The decision module takes a different start time for a new process, so a repeated record must keep the time that
             // was computed for it first.
             let same = entries.get(&id).filter(|entry| entry.since_ms == record.since_ms);
-            let started =
-                same.map_or_else(|| self.start_clock.started(record.since_ms), |entry| entry.listed.started);
+            let started = same
+                .map_or_else(|| self.start_clock.start_time(record.since_ms), |entry| entry.listed.started);
             let mut entry = self.entry(id, record, started);
             if excluded && entry.state == EndpointState::Ready {
                 entry.state = EndpointState::Draining;
--- a/crates/sidecar/src/door.rs
+++ b/crates/sidecar/src/ops.rs
@@ -3,14 +3,14 @@
 
 use crate::counters::{Counters, count};
 use crate::endpoint_table::EndpointTable;
-use crate::figures::Report;
 use crate::fleet::Fleet;
-use crate::frontend::{admit, bid_farewell, refuse};
+use crate::frontend::{accept_connection, close_gracefully, error_response};
 use crate::http::server::{Connection, Request, Status, Step};
-use crate::lifecycle::{Life, Machine};
-use crate::session::{Carrier, Host};
-use crate::sockets::send_promptly;
-use crate::words;
+use crate::lifecycle::{Lifecycle, LifecycleState};
+use crate::ops_commands;
+use crate::request_stats::StatsReport;
+use crate::requests::{RequestDriver, Transport};
+use crate::sockets::enable_nodelay;
 use cometcroft_platform::Platform;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -52,7 +52,7 @@
         b"/ops/drain/start" => (Call::Drain, "PUT"),
         b"/ops/drain/stop" => (Call::Undrain, "PUT"),
         b"/ops/fleet" => (Call::Fleet, "GET"),
-        _ => match path.strip_prefix(b"/ops/plan").and_then(words::method) {
+        _ => match path.strip_prefix(b"/ops/plan").and_then(ops_commands::allowed_method) {
             Some(due) => (Call::Plan, due),
             None => return Err((Status::NotFound, None)),
         },
@@ -61,10 +61,10 @@
 }
 
 /// The door, and what it tells of.
-pub struct Door<C: Carrier> {
-    host: Rc<Host<C>>,
+pub struct OpsEndpoint<C: Transport> {
+    host: Rc<RequestDriver<C>>,
     endpoints: Rc<EndpointTable>,
-    life: Rc<Life<C::Platform>>,
+    lifecycle: Rc<Lifecycle<C::Platform>>,
     counters: Rc<Counters>,
     fleet: Option<Rc<Fleet<C::Platform>>>,
     /// Callers that owe a call, the longest waiting first.
@@ -75,21 +75,21 @@
     left: Notify,
 }
 
-type StreamOf<C> = <<C as Carrier>::Platform as Platform>::Stream;
+type StreamOf<C> = <<C as Transport>::Platform as Platform>::Stream;
 
-impl<C: Carrier> Door<C> {
+impl<C: Transport> OpsEndpoint<C> {
     /// A door to what these tell, with so many places.
     pub fn new(
-        host: Rc<Host<C>>,
+        host: Rc<RequestDriver<C>>,
         endpoints: Rc<EndpointTable>,
-        life: Rc<Life<C::Platform>>,
+        lifecycle: Rc<Lifecycle<C::Platform>>,
         counters: Rc<Counters>,
         (fleet, places): (Option<Rc<Fleet<C::Platform>>>, usize),
-    ) -> Rc<Door<C>> {
-        Rc::new(Door {
+    ) -> Rc<OpsEndpoint<C>> {
+        Rc::new(OpsEndpoint {
             host,
             endpoints,
-            life,
+            lifecycle,
             counters,
             fleet,
             most: places.clamp(1, MOST),
@@ -111,7 +111,7 @@
                 }
                 let _ = platform.timeout(Duration::from_millis(10), self.left.notified()).await;
             }
-            let stream = admit(&platform, &listener, &self.counters, || ()).await;
+            let stream = accept_connection(&platform, &listener, &self.counters, || ()).await;
             let door = self.clone();
             self.open.set(self.open.get() + 1);
             platform.detach(async move {
@@ -125,7 +125,7 @@
     /// One call.
     async fn serve(&self, mut stream: StreamOf<C>) -> io::Result<()> {
         let platform = self.host.platform();
-        send_promptly(&stream);
+        enable_nodelay(&stream);
         let turn = self.turn.replace(self.turn.get() + 1);
         let wake = Rc::new(Notify::new());
         self.waiting.borrow_mut().insert(turn, wake.clone());
@@ -134,7 +134,7 @@
         if let Some(answer) = answer? {
             count(&self.counters.ops_calls);
             platform.timeout(STALLED, stream.write_all(&answer)).await??;
-            bid_farewell(platform, &mut stream, false).await?;
+            close_gracefully(platform, &mut stream, false).await?;
         }
         Ok(())
     }
@@ -152,8 +152,8 @@
                         read = stream.read_buf(machine.buffer()) => read?,
                         () = wake.notified() => 0,
                         () = platform.sleep_until(until) => {
-                            let half = !machine.idle();
-                            return Ok(half.then(|| refuse(&mut machine, Status::RequestTimeout)));
+                            let half = !machine.is_idle();
+                            return Ok(half.then(|| error_response(&mut machine, Status::RequestTimeout)));
                         }
                     };
                     if read == 0 {
@@ -162,8 +162,8 @@
                 }
                 Step::Continue(bytes) => stream.write_all(bytes).await?,
                 Step::Request(request) => return Ok(Some(self.answer(&mut machine, &request).await)),
-                Step::Upload(..) => return Ok(Some(refuse(&mut machine, Status::TooLarge))),
-                Step::Reject(status) => return Ok(Some(refuse(&mut machine, status))),
+                Step::Upload(..) => return Ok(Some(error_response(&mut machine, Status::TooLarge))),
+                Step::Reject(status) => return Ok(Some(error_response(&mut machine, status))),
             }
         }
     }
@@ -179,7 +179,7 @@
                 (status, allow.unwrap_or_default(), String::new())
             }
         };
-        let mut message = machine.answer(status, &extra, body.len(), true);
+        let mut message = machine.response_head(status, &extra, body.len(), true);
         message.extend_from_slice(body.as_bytes());
         message
     }
@@ -187,7 +187,7 @@
     async fn call(&self, call: Call, request: &Request) -> (Status, String) {
         match call {
             Call::Readiness => {
-                let ready = self.life.ask(Machine::wanted);
+                let ready = self.lifecycle.query(LifecycleState::is_ready);
                 let status = if ready { Status::Ok } else { Status::Unavailable };
                 (status, format!("{{\"ready\":{ready}}}\n"))
             }
@@ -196,33 +196,33 @@
                 Err(_) => (Status::Unavailable, String::new()),
             },
             Call::Fleet => match &self.fleet {
-                Some(fleet) => (Status::Ok, fleet.json() + "\n"),
+                Some(fleet) => (Status::Ok, fleet.status_json() + "\n"),
                 None => (Status::NotFound, String::new()),
             },
-            Call::Plan => match self.fleet.as_ref().and_then(|fleet| fleet.accord()) {
-                Some(accord) => {
+            Call::Plan => match self.fleet.as_ref().and_then(|fleet| fleet.plan()) {
+                Some(plan) => {
                     let path = request.path().strip_prefix(b"/ops/plan").unwrap_or_default();
-                    words::answer(accord, &self.endpoints, &self.life, path, request).await
+                    ops_commands::handle(plan, &self.endpoints, &self.lifecycle, path, request).await
                 }
                 None => (Status::NotFound, String::new()),
             },
             Call::Drain => {
-                self.life.tell(Machine::drain);
+                self.lifecycle.update(LifecycleState::start_drain);
                 (Status::Ok, "{\"draining\":true}\n".to_owned())
             }
             Call::Undrain => {
-                self.life.tell(|machine, _| machine.undrain());
+                self.lifecycle.update(|state, _| state.stop_drain());
                 (Status::Ok, "{\"draining\":false}\n".to_owned())
             }
         }
     }
 
     /// All figures, as they are now.
-    pub fn report(&self) -> Report {
-        Report {
-            operations: self.counters.figures.tallies(),
-            relayed: self.counters.figures.relayed(),
-            open_requests: self.counters.figures.open(),
+    pub fn report(&self) -> StatsReport {
+        StatsReport {
+            operations: self.counters.request_stats.by_class(),
+            relayed: self.counters.request_stats.relayed(),
+            open_requests: self.counters.request_stats.open_requests(),
             registry_entries: self.endpoints.len(),
             registry_age_ms: self
                 .endpoints
@@ -230,7 +230,7 @@
                 .map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             bar_delay_longest_us: self.counters.bar_delay_longest_us.get(),
             late_sends_barred: self.counters.dispatch_barred.get(),
-            out_of_rotation: self.host.avoided(),
+            out_of_rotation: self.host.avoided_count(),
             cfg_accepted: self.counters.reloads.get(),
             cfg_invalid: self.counters.reload_failures.get(),
         }
--- a/crates/sidecar/tests/discovery_schedule.rs
+++ b/crates/sidecar/tests/discovery_schedule.rs
@@ -31,7 +31,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(2000))]
+    #![proptest_config(common::proptest_config(2000))]
     /// Whatever failed before: after a rejected or truncated call the next one may time out too, and yet another call is made
     /// half a second before the changes it delivers count as delivered. The same holds after a successful call and after an
     /// outage; there, what a held call misses counts as delivered 2 s after its hold time, if that is later. While discovery
--- a/crates/sidecar/tests/freshness.rs
+++ b/crates/sidecar/tests/freshness.rs
@@ -76,7 +76,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(2000))]
+    #![proptest_config(common::proptest_config(2000))]
     /// Whenever responses arrive, the list alone allows nothing once a change right after the last response may count as
     /// delivered.
     #[test]
