--- a/crates/sidecar/src/discovery/call.rs
+++ b/crates/sidecar/src/discovery/call.rs
@@ -124,11 +124,11 @@
         Err(_) => return CallResult::unanswered(Outcome::TimedOut),
     };
     connections.add(&stream);
-    let (exchange, list) = (ResponseReader::streamed(MAX_LIST_BYTES), ListReader::default());
+    let (reader, list) = (ResponseReader::streamed(MAX_LIST_BYTES), ListReader::default());
     let mut response = Response {
         platform,
         stream,
-        exchange,
+        reader,
         list,
         first_byte: None,
         reported: 0,
@@ -140,8 +140,8 @@
     response.conclude(end)
 }
 
-/// Whether the error shows that nothing listens at the address. A reset or a time-out doesn't: the connection itself may be at
-/// fault.
+/// Whether the error shows that nothing listens at the address. A reset or a time-out doesn't: the connection itself may be
+/// at fault.
 fn is_not_listening(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionRefused, HostUnreachable, NetworkUnreachable};
     matches!(error.kind(), ConnectionRefused | HostUnreachable | NetworkUnreachable)
@@ -208,7 +208,7 @@
     platform: &'a P,
     /// Shared with [`DiscoveryConnections`], which checks it for unread input; never borrowed across an await.
     stream: Rc<RefCell<P::Stream>>,
-    exchange: ResponseReader,
+    reader: ResponseReader,
     list: ListReader,
     /// When the first byte was read.
     first_byte: Option<Instant>,
@@ -248,7 +248,7 @@
 
     /// Reads more bytes; 0 at the end of the stream.
     async fn read(&mut self, until: Instant) -> Result<usize, End> {
-        if !self.exchange.has_begun() {
+        if !self.reader.has_begun() {
             let read = self.read_first(until).await.map_err(|_| End::TimedOut)?;
             return read.map_err(|_| End::Unreachable);
         }
@@ -276,7 +276,7 @@
 
     /// Reads more bytes, unless none arrive by `until` or the response is superseded.
     async fn read_by(&mut self, until: Instant) -> Result<io::Result<usize>, Elapsed> {
-        let read = read_unless_superseded(&self.stream, self.exchange.buffer(), self.state);
+        let read = read_unless_superseded(&self.stream, self.reader.buffer(), self.state);
         self.platform.timeout_at(until, read).await?.ok_or(Elapsed)
     }
 
@@ -284,8 +284,8 @@
     fn process(&mut self, ended: bool) -> Result<Option<End>, ParseError> {
         let at = self.platform.now();
         if !self.is_list {
-            let Some(head) = self.exchange.step(ended)? else {
-                return Ok((ended && !self.exchange.has_begun()).then_some(End::Unreachable));
+            let Some(head) = self.reader.step(ended)? else {
+                return Ok((ended && !self.reader.has_begun()).then_some(End::Unreachable));
             };
             if head.status != OK {
                 return Ok(Some(End::Rejected));
@@ -299,7 +299,7 @@
             }
         }
         loop {
-            match self.exchange.next_piece(ended)? {
+            match self.reader.next_piece(ended)? {
                 BodyPiece::Bytes(bytes) if self.push(&bytes, at) => {}
                 BodyPiece::Bytes(_) => return Ok(Some(End::Broken)),
                 BodyPiece::End => return Ok(Some(End::Complete)),
@@ -340,7 +340,7 @@
             // The list may be complete even if the end of its framing is missing.
             End::Complete | End::Broken if self.list.is_complete() => match self.list.finish() {
                 Ok(list) => {
-                    let reusable = end == End::Complete && self.exchange.reusable();
+                    let reusable = end == End::Complete && self.reader.reusable();
                     let stream = Rc::into_inner(self.stream).map(RefCell::into_inner);
                     let stream = stream.filter(|_| reusable);
                     CallResult { outcome: Outcome::Answered(list), stream, first_byte }
--- a/crates/sidecar/src/discovery/mod.rs
+++ b/crates/sidecar/src/discovery/mod.rs
@@ -77,7 +77,7 @@
 /// Keeps the endpoint list up to date, whether lists are polled or pushed to an agent, starting from `version` if a list is
 /// known. `seed` makes the calls of several sidecars differ. Runs until it is dropped.
 pub async fn watch<C: Transport>(
-    host: Rc<RequestDriver<C>>,
+    driver: Rc<RequestDriver<C>>,
     endpoints: Rc<EndpointTable>,
     source: Rc<Source>,
     lifecycle: Rc<Lifecycle<C::Platform>>,
@@ -85,13 +85,13 @@
     seed: u64,
     fleet: Option<Rc<Fleet<C::Platform>>>,
 ) {
-    let (platform, counters) = (host.platform().clone(), host.counters().clone());
+    let (platform, counters) = (driver.platform().clone(), driver.counters().clone());
     let (report, reports) = unbounded_channel();
     let watcher = Watcher {
         origin: platform.now(),
         platform,
         counters,
-        host,
+        driver,
         endpoints,
         source,
         lifecycle,
@@ -138,7 +138,7 @@
     platform: C::Platform,
     origin: Instant,
     counters: Rc<Counters>,
-    host: Rc<RequestDriver<C>>,
+    driver: Rc<RequestDriver<C>>,
     endpoints: Rc<EndpointTable>,
     source: Rc<Source>,
     lifecycle: Rc<Lifecycle<C::Platform>>,
@@ -245,14 +245,14 @@
                 self.schedule.stalled(id, now);
             }
             CallReport::Excluded(entries) => {
-                self.host.handle_event(Event::EndpointList { scope: ListScope::Changes, entries })
+                self.driver.handle_event(Event::EndpointList { scope: ListScope::Changes, entries })
             }
             CallReport::Ended { id, result, excluded } => self.call_ended(id, result, excluded),
         }
     }
 
-    /// Requests the complete list from the new address: the old one will soon stop responding, and its versions mean nothing at
-    /// the new one. Calls in flight are abandoned, but their responses still exclude endpoints until that list is applied.
+    /// Requests the complete list from the new address: the old one will soon stop responding, and its versions mean nothing
+    /// at the new one. Calls in flight are abandoned, but their responses still exclude endpoints until that list is applied.
     fn discovery_moved(&mut self) {
         let abandoned = self.running.drain(..).map(|running| running.abandon(CallState::Moved));
         self.calls_before_move.extend(abandoned);
@@ -315,17 +315,17 @@
         }
     }
 
-    /// Applies the list of a response, or returns why it can't be applied. `excluded` tells whether the list excluded endpoints
-    /// that were open while it arrived.
+    /// Applies the list of a response, or returns why it can't be applied. `excluded` tells whether the list excluded
+    /// endpoints that were open while it arrived.
     fn apply_list(&mut self, id: CallId, list: EndpointList, excluded: bool) -> Option<Failure> {
-        let versions_restarted =
-            self.schedule.accepts_older() && self.current_version.is_some_and(|held| list.version < held);
+        let versions_restarted = self.schedule.accepts_older()
+            && self.current_version.is_some_and(|current| list.version < current);
         if versions_restarted {
             self.endpoints.forget_versions();
         }
-        let held = self.current_version.filter(|_| !versions_restarted);
-        self.endpoints.observe_clocks(self.host.now(), self.platform.unix());
-        match self.endpoints.apply(list, held) {
+        let min_version = self.current_version.filter(|_| !versions_restarted);
+        self.endpoints.observe_clocks(self.driver.now(), self.platform.unix());
+        match self.endpoints.apply(list, min_version) {
             ApplyResult::Applied(update) => {
                 self.endpoints.staleness().record_confirmation(self.platform.now());
                 (self.from_version, self.current_version) = (Some(update.version), Some(update.version));
@@ -337,7 +337,8 @@
                 }
                 let now = self.now();
                 self.schedule.answered(id, now);
-                self.host.handle_event(Event::EndpointList { scope: update.scope, entries: update.entries });
+                self.driver
+                    .handle_event(Event::EndpointList { scope: update.scope, entries: update.entries });
                 None
             }
             ApplyResult::Older => {
@@ -358,7 +359,7 @@
     /// Notifies the decision module how long the list is valid.
     fn notify_validity(&self) {
         let validity = self.endpoints.freshness().validity(self.platform.now());
-        self.host.handle_event(Event::ListValidity(validity));
+        self.driver.handle_event(Event::ListValidity(validity));
     }
 
     /// Logs that discovery answers again or no longer answers.
--- a/crates/sidecar/src/discovery/retry_cycle.rs
+++ b/crates/sidecar/src/discovery/retry_cycle.rs
@@ -1,8 +1,9 @@
 //! The retry schedule while discovery is down or overloaded: one call per period, at a random phase. No I/O.
 //!
-//! The end of an outage can't be predicted, and from then on a change counts as delivered after [`NOTIFICATION_DEADLINE`]. The
-//! time between two calls therefore stays below that, and the calls of a fleet are spread evenly over it. With random pauses,
-//! some would be longer than others, and the last sidecars would be late although discovery could have answered all in time.
+//! The end of an outage can't be predicted, and from then on a change counts as delivered after [`NOTIFICATION_DEADLINE`].
+//! The time between two calls therefore stays below that, and the calls of a fleet are spread evenly over it. With random
+//! pauses, some would be longer than others, and the last sidecars would be late although discovery could have answered all
+//! in time.
 //!
 //! If discovery can't answer all calls, and its queue gets longer than sidecars wait, no sidecar is answered, not even those
 //! that suspect their list to be out of date. Sidecars whose lists are corroborated by many serving endpoints therefore call
--- a/crates/sidecar/src/discovery/schedule.rs
+++ b/crates/sidecar/src/discovery/schedule.rs
@@ -43,7 +43,8 @@
 /// Timeout of a call to the agent that it must not hold. A change that the agent receives when discovery is back counts as
 /// delivered at once, so this time and that of the following call have to fit into the grace period of a drain.
 const AGENT_TIMEOUT: Duration = Duration::from_millis(100);
-/// One in this many calls to an agent that does not answer has a longer timeout, as this process itself may have been delayed.
+/// One in this many calls to an agent that does not answer has a longer timeout, as this process itself may have been
+/// delayed.
 const AGENT_LONG_TIMEOUT_EVERY: u32 = 4;
 
 /// How soon after a response the next call has to be made in order to continue the watch.
@@ -56,8 +57,9 @@
 const QUICK_RETRY_PUSHED: Duration = Duration::from_millis(20);
 /// Number of quick retries in a row.
 const QUICK_RETRIES: u32 = 4;
-/// Mean delay of a retry after a call that was rejected at once. A rejected call costs a busy discovery as much as an answered
-/// one: with retries that got more frequent towards the deadline, a fleet of 300 got no response at all for four seconds.
+/// Mean delay of a retry after a call that was rejected at once. A rejected call costs a busy discovery as much as an
+/// answered one: with retries that got more frequent towards the deadline, a fleet of 300 got no response at all for four
+/// seconds.
 const RETRY: Duration = Duration::from_millis(1300);
 /// If a call that opens a watch is rejected after at least this time, it was waiting in a queue, or discovery is down. From
 /// then on, calls follow a [`RetryCycle`].
@@ -65,7 +67,8 @@
 /// Mean delay of a call that is brought forward in the cycle because the list is suspected to be out of date. Only a few
 /// sidecars of a fleet suspect it at the same time, so they go before those whose lists have not changed.
 const RETRY_SUSPECTED: Duration = Duration::from_secs(1);
-/// Mean delay of the first quick retry after a rejected or unreachable call. It doubles with each further one, up to [`RETRY`].
+/// Mean delay of the first quick retry after a rejected or unreachable call. It doubles with each further one, up to
+/// [`RETRY`].
 const QUICK_RETRY_REJECTED: Duration = Duration::from_millis(200);
 /// Number of lists of an older version in a row after which such a list is accepted.
 const ACCEPT_OLDER_AFTER: u32 = 3;
--- a/crates/sidecar/src/discovery/staleness.rs
+++ b/crates/sidecar/src/discovery/staleness.rs
@@ -55,7 +55,8 @@
         served.insert(endpoint, now);
     }
 
-    /// Whether a list of `listed` endpoints is corroborated by those that have recently served requests.
+    /// Whether a list of `listed` endpoints is corroborated by those that have recently served requests, and not suspected to be
+    /// out of date.
     pub fn is_corroborated(&self, listed: usize, now: Instant) -> bool {
         let served = self.served.borrow();
         let recent = served.values().filter(|at| now.saturating_duration_since(**at) <= RECENT).count();
--- a/crates/sidecar/src/endpoint_table.rs
+++ b/crates/sidecar/src/endpoint_table.rs
@@ -188,13 +188,12 @@
         self.version.set(None);
     }
 
-    /// Applies a list, unless its version is lower than `held`; without `held`, any list is applied. Endpoints that a newer
-    /// list has excluded stay closed.
-    pub fn apply(&self, list: EndpointList, held: Option<i64>) -> ApplyResult {
+    /// Applies a list, unless its version is lower than `min_version`. Endpoints that a newer list has excluded stay closed.
+    pub fn apply(&self, list: EndpointList, min_version: Option<i64>) -> ApplyResult {
         let EndpointList { version, is_complete, records } = list;
         // A delayed response, or one of a discovery replica that lags, would reopen endpoints that have begun to drain since.
         // The endpoints that it excludes have been excluded since its records arrived.
-        if held.is_some_and(|held| version < held) {
+        if min_version.is_some_and(|min_version| version < min_version) {
             return ApplyResult::Older;
         }
         self.excluded_by_newer.borrow_mut().retain(|_, excluded_by| *excluded_by > version);
@@ -205,8 +204,8 @@
     }
 
     /// Excludes the endpoints that these records exclude and returns the entries that changed; other records are ignored. The
-    /// records belong to a list of version `version` (if known yet) that may still be arriving. Until that list is applied, an
-    /// older one opens none of these endpoints.
+    /// records belong to a list of version `version` (if known yet) that may still be arriving. Until that list is applied,
+    /// an older one opens none of these endpoints.
     pub fn exclude(&self, records: &[EndpointRecord], version: Option<i64>) -> Vec<EndpointEntry> {
         let excluding: Vec<&EndpointRecord> = records.iter().filter(|record| record.is_excluded()).collect();
         self.remember_exclusions(&excluding, version);
@@ -230,7 +229,8 @@
     /// applied because its call was abandoned. An omitted endpoint reopens once an applied list names it, but an older list
     /// does not reopen it, unless `version` is `None`: discovery has moved, and versions can't be compared.
     pub fn exclude_unlisted(&self, list: &EndpointList, version: Option<i64>) -> Vec<EndpointEntry> {
-        let outdated = self.version.get().is_some_and(|held| version.is_some_and(|version| version < held));
+        let outdated =
+            self.version.get().is_some_and(|current| version.is_some_and(|version| version < current));
         if !list.is_complete || outdated {
             return Vec::new();
         }
@@ -255,8 +255,9 @@
     /// Remembers the endpoints, known or not, that a list which has not been applied excludes.
     fn remember_exclusions(&self, excluding: &[&EndpointRecord], version: Option<i64>) {
         // A list whose version is not known yet is assumed to be newer than the current one: if it isn't, it changes nothing.
-        let version = version.unwrap_or_else(|| self.version.get().map_or(0, |held| held.saturating_add(1)));
-        if self.version.get().is_some_and(|held| version <= held) {
+        let version =
+            version.unwrap_or_else(|| self.version.get().map_or(0, |current| current.saturating_add(1)));
+        if self.version.get().is_some_and(|current| version <= current) {
             return;
         }
         let mut excluded_by_newer = self.excluded_by_newer.borrow_mut();
@@ -287,8 +288,8 @@
             if is_complete {
                 listed.insert(id);
             }
-            // The decision module takes a different start time for a new process, so a repeated record must keep the time that
-            // was computed for it first.
+            // The decision module takes a different start time for a new process, so a repeated record must keep the time
+            // that was computed for it first.
             let same = entries.get(&id).filter(|entry| entry.since_ms == record.since_ms);
             let started = same
                 .map_or_else(|| self.start_clock.start_time(record.since_ms), |entry| entry.listed.started);
--- a/crates/sidecar/src/probe.rs
+++ b/crates/sidecar/src/probe.rs
@@ -21,21 +21,21 @@
 pub async fn send<P: Platform>(exchanger: &Exchanger<P>, fields: &[Field], to: EndpointId) -> ProbeResult {
     count(&exchanger.counters.probes);
     let platform = exchanger.pool.platform();
-    let (stage, ends) = (Cell::new(Stage::Unwritten), platform.now() + TIMEOUT);
+    let (stage, deadline) = (Cell::new(Stage::Unwritten), platform.now() + TIMEOUT);
     let message = || client::encode_get("/metrics/load", "backend.local");
     let probed = match platform
         .timeout_at(
-            ends,
-            exchanger.run(to, message, None, Deadlines { end: ends, write_by: None }, || {
+            deadline,
+            exchanger.run(to, message, None, Deadlines { end: deadline, write_by: None }, || {
                 stage.set(Stage::Written)
             }),
         )
         .await
     {
-        Ok(Ok(EndpointResponse { response: answer, .. })) => {
-            let text = if answer.body.is_empty() { answer.load_report() } else { Some(&answer.body) };
+        Ok(Ok(EndpointResponse { response, .. })) => {
+            let text = if response.body.is_empty() { response.load_report() } else { Some(&response.body) };
             let report = text.and_then(|text| parse_report(text, fields));
-            (if answer.status == 200 { Outcome::Ok } else { Outcome::Error }, report)
+            (if response.status == 200 { Outcome::Ok } else { Outcome::Error }, report)
         }
         Ok(Err(error)) => (outcome_without_response(stage.get(), (&error).into()), None),
         Err(_) => (outcome_without_response(stage.get(), NoResponse::TimedOut), None),
--- a/crates/sidecar/tests/crowded_discovery.rs
+++ b/crates/sidecar/tests/crowded_discovery.rs
@@ -78,23 +78,23 @@
     }
 }
 
-fn serve(answer: impl Fn(&str, Instant) -> String + Clone + Send + 'static) -> SocketAddr {
+fn serve(respond: impl Fn(&str, Instant) -> String + Clone + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            serve_connection(stream, answer.clone());
+            serve_connection(stream, respond.clone());
         }
     });
     at
 }
 
-fn serve_connection(mut stream: TcpStream, answer: impl Fn(&str, Instant) -> String + Send + 'static) {
+fn serve_connection(mut stream: TcpStream, respond: impl Fn(&str, Instant) -> String + Send + 'static) {
     std::thread::spawn(move || {
         while let Ok(1) = stream.peek(&mut [0]) {
             let first_byte = Instant::now();
             let Some(request) = read_head(&mut stream) else { return };
-            if stream.write_all(answer(&request, first_byte).as_bytes()).is_err() {
+            if stream.write_all(respond(&request, first_byte).as_bytes()).is_err() {
                 return;
             }
         }
@@ -120,9 +120,9 @@
     rest.split(|digit: char| !digit.is_ascii_digit()).next()?.parse().ok()
 }
 
-/// The stub discovery: version 1 lists all endpoints as ready, version 2 some as draining. While overloaded, it lets all calls
-/// wait and rejects them.
-fn answer_call(stubs: &Stubs, endpoints: &[SocketAddr], request: &str, began: Instant) -> String {
+/// The stub discovery: version 1 lists all endpoints as ready, version 2 some as draining. While overloaded, it lets all
+/// calls wait and rejects them.
+fn respond_to_call(stubs: &Stubs, endpoints: &[SocketAddr], request: &str, began: Instant) -> String {
     let (from, hold) = (argument(request, "from="), argument(request, "hold_ms=").unwrap_or(0));
     let has_change = || from.is_none_or(|from| from < stubs.version());
     let answers = || stubs.discovery() == Service::Answers;
@@ -163,7 +163,7 @@
                 connections.extend(stream.try_clone());
                 let (stubs, endpoints) = (stubs.clone(), endpoints.clone());
                 serve_connection(stream, move |request, began| {
-                    answer_call(&stubs, &endpoints, request, began)
+                    respond_to_call(&stubs, &endpoints, request, began)
                 });
                 continue;
             }
@@ -217,13 +217,13 @@
 
     /// Sends a request every 33 ms until `until`. Returns when each was sent, and its status.
     fn load(&self, until: Instant) -> Vec<(Instant, Option<u16>)> {
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         while Instant::now() < until {
             let sent = Instant::now();
-            answers.push((sent, self.request()));
+            responses.push((sent, self.request()));
             sleep((33 * MS).saturating_sub(sent.elapsed()));
         }
-        answers
+        responses
     }
 }
 
@@ -239,8 +239,8 @@
 }
 
 /// The share of the requests sent from `from` on that was served.
-fn served(answers: &[(Instant, Option<u16>)], from: Instant) -> f64 {
-    let sent: Vec<_> = answers.iter().filter(|(at, _)| *at >= from).collect();
+fn served(responses: &[(Instant, Option<u16>)], from: Instant) -> f64 {
+    let sent: Vec<_> = responses.iter().filter(|(at, _)| *at >= from).collect();
     sent.iter().filter(|(_, status)| *status == Some(200)).count() as f64 / sent.len().max(1) as f64
 }
 
@@ -285,18 +285,18 @@
 
     /// Waits until the load ends.
     fn finish(self) -> Finished {
-        let answers = |load: Load| {
-            let (answers, sidecar) = load.join().expect("no panic");
-            (sidecar.name, answers)
+        let results = |load: Load| {
+            let (responses, sidecar) = load.join().expect("no panic");
+            (sidecar.name, responses)
         };
-        Finished { stubs: self.stubs, answers: self.loads.into_iter().map(answers).collect() }
+        Finished { stubs: self.stubs, responses: self.loads.into_iter().map(results).collect() }
     }
 }
 
 /// The results of a fleet.
 struct Finished {
     stubs: Arc<Stubs>,
-    answers: BTreeMap<String, Vec<(Instant, Option<u16>)>>,
+    responses: BTreeMap<String, Vec<(Instant, Option<u16>)>>,
 }
 
 impl Finished {
@@ -306,16 +306,16 @@
 
     /// Checks that every request got a final response, served or rejected.
     fn assert_all_answered(&self) {
-        for (name, answers) in &self.answers {
-            let other = answers.iter().find(|(_, status)| !matches!(status, Some(200 | 503)));
+        for (name, responses) in &self.responses {
+            let other = responses.iter().find(|(_, status)| !matches!(status, Some(200 | 503)));
             assert_eq!(other, None, "{name}: neither served nor rejected");
         }
     }
 
     /// Checks that sidecars of this kind served more than this share of the requests sent from `from` on.
     fn assert_served(&self, kind: &str, from: Instant, at_least: f64) {
-        for (name, answers) in self.answers.iter().filter(|(name, _)| name.starts_with(kind)) {
-            let served = served(answers, from);
+        for (name, responses) in self.responses.iter().filter(|(name, _)| name.starts_with(kind)) {
+            let served = served(responses, from);
             assert!(served > at_least, "{name} served {served:.3}");
         }
     }
@@ -344,8 +344,8 @@
     }
 }
 
-/// Guards against issue 52: a refused connection extended the validity of a list, although discovery had a change before it went
-/// down.
+/// Guards against issue 52: a refused connection extended the validity of a list, although discovery had a change before it
+/// went down.
 #[test]
 fn an_outage_does_not_extend_a_list_past_earlier_changes() {
     let mut fleet = Fleet::new(Duration::from_millis(16_000));
@@ -374,8 +374,8 @@
     finished.assert_all_answered();
 }
 
-/// Guards against relying on an accepted request: an endpoint that drains may go on serving, so the request does not show that
-/// discovery does not list it as draining.
+/// Guards against relying on an accepted request: an endpoint that drains may go on serving, so the request does not show
+/// that discovery does not list it as draining.
 #[test]
 fn an_endpoint_that_drains_and_serves_on_gets_no_late_request() {
     let serves_on = Stubs { serves_on: true, ..Stubs::default() };
--- a/crates/sidecar/tests/discovery_outage.rs
+++ b/crates/sidecar/tests/discovery_outage.rs
@@ -1,5 +1,6 @@
-//! The calls of a fleet after an outage of discovery. Where discovery has the capacity, all calls are answered before its changes
-//! count as delivered. The schedules of the whole fleet run against a model of discovery that answers one call after another.
+//! The calls of a fleet after an outage of discovery. Where discovery has the capacity, all calls are answered before its
+//! changes count as delivered. The schedules of the whole fleet run against a model of discovery that answers one call after
+//! another.
 
 use cometcroft_sidecar::discovery::schedule::{CallId, Failure, NOTIFICATION_DEADLINE, Schedule, Time};
 use std::cmp::Reverse;
@@ -192,8 +193,8 @@
     (in_time as f64 / times.len() as f64, times.into_iter().max().unwrap_or_default())
 }
 
-/// Outages of several lengths and kinds. A fleet of 270 sidecars whose calls take 19.5 ms each keeps discovery busy for 5.3 s, most
-/// of the time that it has.
+/// Outages of several lengths and kinds. A fleet of 270 sidecars whose calls take 19.5 ms each keeps discovery busy for 5.3
+/// s, most of the time that it has.
 fn outages(sidecars: usize, cost: Duration) -> Vec<Outage> {
     let mut outages = Vec::new();
     for lasts in [3, 5, 8, 12, 20, 45] {
--- a/crates/sidecar/tests/discovery_schedule.rs
+++ b/crates/sidecar/tests/discovery_schedule.rs
@@ -94,7 +94,8 @@
         prop_assert!(second + 500 * MS <= delivered, "{second:?} after {reached:?}");
     }
 
-    /// The changes that an agent has count as delivered at once, so an agent that does not respond is called again without delay.
+    /// The changes that an agent has count as delivered at once, so an agent that does not respond is called again without
+    /// delay.
     #[test]
     fn an_agent_that_does_not_respond_is_called_again_without_delay(seed in any::<u64>(), failures in 1usize..20) {
         let mut schedule = Schedule::new(seed);
@@ -110,48 +111,48 @@
         }
     }
 
-    /// After a successful call the next one is held until there is a change. If it times out, a second call, which is not held,
-    /// is made with at least one second left.
+    /// After a successful call the next one is held until there is a change. If it times out, a second call, which is not
+    /// held, is made with at least one second left.
     #[test]
     fn a_held_call_that_times_out_is_followed_by_another_in_time(seed in any::<u64>(), pushed in any::<bool>()) {
         let mut schedule = Schedule::new(seed);
         schedule.configure(pushed, Duration::from_secs(10));
         let (at, first) = next(&mut schedule, Time::ZERO, false);
         schedule.answered(first.id, at);
-        let (began, wait) = next(&mut schedule, at, false);
+        let (began, held_call) = next(&mut schedule, at, false);
         prop_assert_eq!(began, at);
-        prop_assert!(wait.hold >= 1500 * MS, "held calls without a change follow too quickly");
+        prop_assert!(held_call.hold >= 1500 * MS, "held calls without a change follow too quickly");
         if pushed {
-            schedule.failed(wait.id, Failure::TimedOut, began + wait.timeout);
+            schedule.failed(held_call.id, Failure::TimedOut, began + held_call.timeout);
         }
         let (second, quick) = next(&mut schedule, began, false);
         prop_assert!(second - began + 1000 * MS <= NOTIFICATION_DEADLINE, "the second call is late");
         prop_assert!(quick.hold.is_zero(), "the second call must not be held");
     }
 
-    /// An overdue call is not abandoned for the second one: a busy discovery answers late, and an abandoned call has cost it as
-    /// much as one that is answered.
+    /// An overdue call is not abandoned for the second one: a busy discovery answers late, and an abandoned call has cost it
+    /// as much as one that is answered.
     #[test]
     fn an_overdue_call_is_not_abandoned(seed in any::<u64>()) {
         let mut schedule = Schedule::new(seed);
         schedule.configure(false, Duration::from_secs(10));
         let (at, first) = next(&mut schedule, Time::ZERO, false);
         schedule.answered(first.id, at);
-        let (began, wait) = next(&mut schedule, at, false);
+        let (began, held_call) = next(&mut schedule, at, false);
         let (second_at, second) = next(&mut schedule, began, false);
-        prop_assert!(second.replaces.is_none() && began + wait.timeout > second_at);
+        prop_assert!(second.replaces.is_none() && began + held_call.timeout > second_at);
         prop_assert!(second.timeout >= 3 * Duration::from_secs(1), "shorter than a call may wait in discovery's queue");
         // The response to the first confirms the list, and no further call is made until the second has ended.
         let late = second_at + 100 * MS;
-        schedule.answered(wait.id, late);
+        schedule.answered(held_call.id, late);
         prop_assert_eq!(schedule.confirmed(), late);
         prop_assert!(schedule.next_at().is_none_or(|at| at > late + 500 * MS));
         schedule.answered(second.id, late + 200 * MS);
         prop_assert_eq!(schedule.next_at(), Some(late + 200 * MS));
     }
 
-    /// Endpoints that reject requests indicate that the list is out of date. A sidecar that sees this in an outage calls within
-    /// 1.5 s, but however often it does, it calls only once after each rejected call.
+    /// Endpoints that reject requests indicate that the list is out of date. A sidecar that sees this in an outage calls
+    /// within 1.5 s, but however often it does, it calls only once after each rejected call.
     #[test]
     fn suspicion_brings_the_next_call_forward_in_an_outage(seed in any::<u64>(), signs in 1usize..50) {
         let mut schedule = Schedule::new(seed);
@@ -296,13 +297,13 @@
 fn a_late_failure_of_a_call_that_was_overtaken_changes_nothing() {
     let mut schedule = Schedule::new(1);
     schedule.configure(false, Duration::from_secs(10));
-    let (_, wait) = next(&mut schedule, Time::ZERO, false);
+    let (_, held_call) = next(&mut schedule, Time::ZERO, false);
     let (at, second) = next(&mut schedule, Time::ZERO, false);
     schedule.answered(second.id, at);
     let (_, after) = next(&mut schedule, at, false);
     let due = schedule.next_at();
-    assert!(schedule.overtaken(wait.id) && !schedule.overtaken(after.id));
-    schedule.failed(wait.id, Failure::TimedOut, at + 10 * MS);
+    assert!(schedule.overtaken(held_call.id) && !schedule.overtaken(after.id));
+    schedule.failed(held_call.id, Failure::TimedOut, at + 10 * MS);
     assert_eq!(schedule.next_at(), due);
 }
 
--- a/crates/sidecar/tests/endpoint_list.rs
+++ b/crates/sidecar/tests/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The reader of endpoint lists yields the same records however a list is cut into pieces, each record as soon as its last byte
-//! has arrived, with bounded memory and work.
+//! The reader of endpoint lists yields the same records however a list is cut into pieces, each record as soon as its last
+//! byte has arrived, with bounded memory and work.
 mod common;
 
 use cometcroft::EndpointState;
--- a/crates/sidecar/tests/freshness.rs
+++ b/crates/sidecar/tests/freshness.rs
@@ -32,8 +32,8 @@
 fn a_list_is_as_old_as_the_call_that_confirmed_it() {
     let (freshness, began) = started();
     let called = began + 10_000 * MS;
-    // The time at which the response arrived does not matter. A process may be delayed by 0.15 s between reading the clock and
-    // a write.
+    // The time at which the response arrived does not matter. A process may be delayed by 0.15 s between reading the clock
+    // and a write.
     freshness.record_confirmation(called);
     assert!(freshness.allows(None, called + NOTIFICATION_DEADLINE - 160 * MS));
     assert!(!freshness.allows(None, called + NOTIFICATION_DEADLINE - 150 * MS));
--- a/crates/sidecar/tests/long_lists.rs
+++ b/crates/sidecar/tests/long_lists.rs
@@ -94,14 +94,14 @@
         let arriving = tokio::task::spawn_local(write_slowly(discovery, list, 100, 30 * MS));
         Tokio.sleep(GRACE).await;
         assert!(!is_served(&sidecar).await, "the drain arrived a grace period ago");
-        let mut discovery = arriving.await.expect("it is read");
+        let mut discovery = arriving.await.expect("the task does not panic");
         assert!(discovery.receive().await.contains("?from=2&"), "the list was read to its end");
     });
 }
 
-/// A list that takes longer than the timeout of any call is read to its end as long as it keeps arriving, and no other call is
-/// made meanwhile. It says nothing about changes during the 6 s that it took, so no request begins until the next call, which
-/// is not held, has confirmed it.
+/// A list that takes longer than the timeout of any call is read to its end as long as it keeps arriving, and no other call
+/// is made meanwhile. It says nothing about changes during the 6 s that it took, so no request begins until the next call,
+/// which is not held, has confirmed it.
 #[test]
 fn a_list_that_keeps_arriving_is_never_given_up() {
     with_sidecar(|sidecar| async move {
@@ -109,7 +109,7 @@
         discovery.receive().await;
         let list = long_list(&sidecar, 2, "up");
         let mut discovery = write_slowly(discovery, list, 125, 50 * MS).await;
-        assert!(discovery.receive().await.contains("?from=2&hold_ms=0 "), "the list was taken");
+        assert!(discovery.receive().await.contains("?from=2&hold_ms=0 "), "the list was applied");
         assert_eq!(sidecar.counters.discovery_calls.get(), 2);
         assert!(!is_served(&sidecar).await);
         discovery.send(&response(&changes(2, ""))).await;
@@ -126,7 +126,7 @@
         agent.receive().await;
         let list = long_list(&sidecar, 2, "draining");
         let mut agent = write_slowly(agent, list, 30, 30 * MS).await;
-        assert!(agent.receive().await.contains("?from=2&"), "the list was taken");
+        assert!(agent.receive().await.contains("?from=2&"), "the list was applied");
         assert_eq!(sidecar.counters.discovery_silent.get(), 0);
         assert!(!is_served(&sidecar).await);
     });
@@ -221,7 +221,8 @@
     });
 }
 
-/// The same if the complete list has arrived unread when discovery moves, whether it lists the endpoint as draining or omits it.
+/// The same if the complete list has arrived unread when discovery moves, whether it lists the endpoint as draining or omits
+/// it.
 #[test]
 fn drains_of_a_list_that_is_unread_when_discovery_moves_take_effect() {
     for omitted in [false, true] {
@@ -255,8 +256,8 @@
     }
 }
 
-/// The same if the rest of the list is still in transit when discovery moves: an empty receive buffer does not show that all that
-/// was written has been read. Seen with lists longer than a receive buffer, whose rest was lost with the connection.
+/// The same if the rest of the list is still in transit when discovery moves: an empty receive buffer does not show that all
+/// that was written has been read. Seen with lists longer than a receive buffer, whose rest was lost with the connection.
 #[test]
 fn drains_of_a_list_that_is_in_transit_when_discovery_moves_take_effect() {
     for framing in [Framing::Length, Framing::Chunked] {
@@ -282,8 +283,8 @@
     }
 }
 
-/// A complete list has been read, but discovery moves before the end of its call is processed: endpoints that the list omits are
-/// excluded all the same.
+/// A complete list has been read, but discovery moves before the end of its call is processed: endpoints that the list omits
+/// are excluded all the same.
 #[test]
 fn endpoints_that_a_list_omits_are_excluded_if_discovery_moves_right_after_it_was_read() {
     for turns in 0..12 {
@@ -302,8 +303,8 @@
     }
 }
 
-/// After a move no version is known. Of two complete lists requested then, the newer one stalls; the older one, which completes
-/// afterwards, must not open what the newer one excluded.
+/// After a move no version is known. Of two complete lists requested then, the newer one stalls; the older one, which
+/// completes afterwards, must not open what the newer one excluded.
 #[test]
 fn after_a_move_an_older_list_does_not_open_what_a_newer_one_excluded() {
     with_sidecar(|sidecar| async move {
@@ -377,8 +378,8 @@
     }
 }
 
-/// A drain takes effect as soon as it is known: a process may be delayed between reading the clock and a write, and even a short
-/// grace period has to cover that.
+/// A drain takes effect as soon as it is known: a process may be delayed between reading the clock and a write, and even a
+/// short grace period has to cover that.
 #[test]
 fn a_known_drain_takes_effect_at_once_however_short_its_grace() {
     let short_grace = |text: String| {
--- a/crates/sidecar/tests/outage_model.rs
+++ b/crates/sidecar/tests/outage_model.rs
@@ -1,7 +1,8 @@
-//! Runs the schedule of calls and the validity of the list against a model of discovery. Whatever discovery does, the list must
-//! not be valid any more once a change that it lacks counts as delivered.
+//! Runs the schedule of calls and the validity of the list against a model of discovery. Whatever discovery does, the list
+//! must not be valid any more once a change that it lacks counts as delivered.
 //!
-//! The checker uses only the rule of the protocol: a change counts as delivered 6 s after discovery had it and could be reached.
+//! The checker uses only the rule of the protocol: a change counts as delivered 6 s after discovery had it and could be
+//! reached.
 #![allow(clippy::disallowed_methods)]
 
 use cometcroft_sidecar::discovery::schedule::{Call, CallId, Failure, Schedule, Time};
@@ -23,12 +24,12 @@
 enum Service {
     /// Answers; the response arrives this long after it was written.
     Answers(Duration),
-    /// Overloaded: lets calls wait for 2 s and rejects them.
-    Crowded,
+    /// Lets calls wait for 2 s and rejects them.
+    Overloaded,
     /// Connections are refused.
     Down,
     /// Does not respond.
-    Silent,
+    Unresponsive,
     /// Truncates responses.
     CutsOff,
 }
@@ -41,9 +42,9 @@
 
     fn draw(rng: &mut Rng) -> Service {
         match rng.u32(0..8) {
-            0 => Service::Crowded,
+            0 => Service::Overloaded,
             1 | 2 => Service::Down,
-            3 => Service::Silent,
+            3 => Service::Unresponsive,
             4 => Service::CutsOff,
             _ => Service::Answers(Duration::from_millis([0, 20, 300, 1500, 3000][rng.usize(0..5)])),
         }
@@ -82,7 +83,11 @@
     }
 
     fn service(&self, at: Time) -> Service {
-        self.spans.iter().rev().find(|(from, _)| *from <= at).map_or(Service::Silent, |(_, service)| *service)
+        self.spans
+            .iter()
+            .rev()
+            .find(|(from, _)| *from <= at)
+            .map_or(Service::Unresponsive, |(_, service)| *service)
     }
 
     fn version(&self, at: Time) -> usize {
@@ -103,7 +108,7 @@
 /// An injected defect, each modelled on an incident.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Defect {
-    /// A refused connection confirms the list that is held.
+    /// A refused connection confirms the current list.
     Refusal,
     /// Three failed calls in a row confirm it.
     Silence,
@@ -139,7 +144,7 @@
     freshness: Freshness,
     origin: Instant,
     in_flight: Vec<InFlight>,
-    held: usize,
+    version: usize,
     failures: u32,
     /// How long the list was valid in all.
     valid_time: Duration,
@@ -157,7 +162,7 @@
             freshness,
             origin,
             in_flight,
-            held: 0,
+            version: 0,
             failures: 0,
             valid_time,
         }
@@ -193,7 +198,7 @@
     }
 
     fn is_late(&self, now: Time) -> bool {
-        let lacks = (self.held + 1)..=self.timeline.version(now);
+        let lacks = (self.version + 1)..=self.timeline.version(now);
         lacks.into_iter().any(|version| {
             self.timeline.delivered(version).is_some_and(|delivered| now + MAX_WRITE_DELAY > delivered)
         })
@@ -211,10 +216,10 @@
     fn outcome(&self, call: &Call, now: Time) -> (Duration, End) {
         match self.timeline.service(now) {
             Service::Answers(delay) => {
-                let held = (0..).map(|step| now + STEP * step);
-                let made = held
+                let times = (0..).map(|step| now + STEP * step);
+                let made = times
                     .into_iter()
-                    .find(|at| *at >= now + call.hold || self.timeline.version(*at) > self.held);
+                    .find(|at| *at >= now + call.hold || self.timeline.version(*at) > self.version);
                 let made = made.unwrap_or(now);
                 if (0..)
                     .map(|step| now + STEP * step)
@@ -229,9 +234,9 @@
                 }
                 (takes, End::Answer(self.timeline.version(made)))
             }
-            Service::Crowded => (2_000 * MS, End::Failure(Failure::Rejected)),
+            Service::Overloaded => (2_000 * MS, End::Failure(Failure::Rejected)),
             Service::Down => (MS, End::Failure(Failure::Unreachable)),
-            Service::Silent => (call.timeout, End::Failure(Failure::TimedOut)),
+            Service::Unresponsive => (call.timeout, End::Failure(Failure::TimedOut)),
             Service::CutsOff => (20 * MS, End::Failure(Failure::Invalid)),
         }
     }
@@ -241,8 +246,8 @@
         while let Some(at) = self.in_flight.iter().position(|call| call.ends <= now) {
             let call = self.in_flight.remove(at);
             match call.end {
-                End::Answer(version) if version >= self.held => {
-                    self.held = version;
+                End::Answer(version) if version >= self.version => {
+                    self.version = version;
                     self.failures = 0;
                     let arrival = self.defect == Some(Defect::Arrival);
                     self.confirm(if arrival { now } else { call.began });
@@ -272,7 +277,8 @@
     }
 }
 
-/// The timelines in which the rule is violated, with the first time of it, and how long the list was valid over all timelines.
+/// The timelines in which the rule is violated, with the first time of it, and how long the list was valid over all
+/// timelines.
 fn violations(seeds: impl Iterator<Item = u64>, defect: Option<Defect>) -> (Vec<(u64, Time)>, Duration) {
     let (mut violations, mut valid_time) = (Vec::new(), Duration::ZERO);
     for seed in seeds {
