--- a/crates/latency/src/added.rs
+++ b/crates/latency/src/added.rs
@@ -1,55 +1,62 @@
-//! What one sidecar adds: the same calls to the same service, direct and through the sidecar in turns.
+//! Latency that one sidecar adds: the same requests to the same endpoint, alternately direct and through the sidecar.
 
 use crate::error::Error;
-use crate::load::{Load, call_at_rate};
-use crate::report::AddedReport;
-use crate::service::{Services, World};
-use crate::sidecar::{Sidecars, own_addresses};
+use crate::load::{Load, run_load};
+use crate::report::AddedLatencyReport;
+use crate::sidecar::{Sidecars, loopback_addresses};
+use crate::stub::{StubOptions, Stubs};
 use cometcroft_rig::free_addresses;
 use std::path::PathBuf;
 use std::time::Duration;
 
 const ZONE: &str = "z0";
-const BUDGET: Duration = Duration::from_secs(2);
-/// Enough that calls of a few milliseconds never wait for a thread.
+const DEADLINE: Duration = Duration::from_secs(2);
+/// Enough that requests of a few milliseconds never wait for a thread.
 const THREADS: u64 = 32;
-/// Calls that warm connections up before each measured turn.
+/// Length of the warm-up before each measured phase, which opens the connections.
 const WARM_UP_SECONDS: f64 = 1.0;
 
-/// How it is measured.
+/// Parameters of a measurement of one sidecar.
 #[derive(Debug, Clone)]
-pub struct AddedOptions {
-    /// The sidecar's program.
+pub struct AddedLatencyOptions {
+    /// Path of the sidecar's executable.
     pub program: PathBuf,
-    /// Calls a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Rounds, each direct and then through the sidecar.
+    /// Number of rounds, each with a direct phase and a phase through the sidecar.
     pub rounds: usize,
-    /// Seconds of a turn.
+    /// Length of a phase in seconds.
     pub seconds: f64,
 }
 
-/// Measures what a sidecar adds at a rate.
-pub fn measure_added(options: &AddedOptions) -> Result<AddedReport, Error> {
-    let [own, ip] = own_addresses();
-    let services = Services { ip, zone: ZONE.to_owned(), count: 1, work: Duration::ZERO, next: Vec::new() };
-    let world = World::start(services)?;
-    let listen = free_addresses(own, 1)?;
-    let _sidecar = Sidecars::start(&options.program, ZONE, &listen, &world.discoveries)?;
-    let mut first = 0;
-    let mut turn = |target, seconds: f64| {
-        let calls = (options.rate * seconds).ceil() as u64;
-        let load = Load { target, rate: options.rate, calls, threads: THREADS, budget: BUDGET, first };
-        first += calls;
-        call_at_rate(&load)
+/// Measures the latency that a sidecar adds at a given request rate.
+pub fn measure_added_latency(options: &AddedLatencyOptions) -> Result<AddedLatencyReport, Error> {
+    let [sidecar_ip, ip] = loopback_addresses();
+    let stub_options = StubOptions {
+        ip,
+        zone: ZONE.to_owned(),
+        count: 1,
+        service_time: Duration::ZERO,
+        next_hops: Vec::new(),
+    };
+    let stubs = Stubs::start(stub_options)?;
+    let listen = free_addresses(sidecar_ip, 1)?;
+    let _sidecar = Sidecars::start(&options.program, ZONE, &listen, &stubs.discoveries)?;
+    let mut first_id = 0;
+    let mut run_phase = |target, seconds: f64| {
+        let requests = (options.rate * seconds).ceil() as u64;
+        let load =
+            Load { target, rate: options.rate, requests, threads: THREADS, deadline: DEADLINE, first_id };
+        first_id += requests;
+        run_load(&load)
     };
     let mut rounds = Vec::new();
     for _ in 0..options.rounds {
-        let mut measured = |target| {
-            turn(target, WARM_UP_SECONDS)?;
-            turn(target, options.seconds)
+        let mut measure = |target| {
+            run_phase(target, WARM_UP_SECONDS)?;
+            run_phase(target, options.seconds)
         };
-        rounds.push([measured(world.services[0])?, measured(listen[0])?]);
+        rounds.push([measure(stubs.endpoints[0])?, measure(listen[0])?]);
     }
-    Ok(AddedReport::of(options.rate, &rounds)?)
+    Ok(AddedLatencyReport::from_rounds(options.rate, &rounds)?)
 }
--- a/crates/latency/src/chain.rs
+++ b/crates/latency/src/chain.rs
@@ -1,10 +1,10 @@
-//! A chain of real sidecars: each hands calls to a service, which calls the next sidecar.
+//! Latency through a chain of real sidecars: each forwards requests to a stub endpoint, which calls the next sidecar.
 
 use crate::error::Error;
-use crate::load::{Load, call_at_rate};
+use crate::load::{Load, run_load};
 use crate::report::{ChainReport, Percentiles};
-use crate::service::{Services, World};
-use crate::sidecar::{Sidecars, own_addresses};
+use crate::sidecar::{Sidecars, loopback_addresses};
+use crate::stub::{StubOptions, Stubs};
 use cometcroft_rig::free_addresses;
 use std::path::PathBuf;
 use std::sync::atomic::Ordering;
@@ -13,56 +13,56 @@
 const ZONE: &str = "z0";
 const THREADS: u64 = 32;
 
-/// How it is measured.
+/// Parameters of a measurement of a chain.
 #[derive(Debug, Clone)]
 pub struct ChainOptions {
-    /// What is played, for the report.
+    /// Name of the case in the report.
     pub case: &'static str,
-    /// The sidecar's program.
+    /// Path of the sidecar's executable.
     pub program: PathBuf,
-    /// Sidecars.
+    /// Number of sidecars in the chain.
     pub depth: usize,
-    /// Calls a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Seconds.
+    /// Length of the run in seconds.
     pub seconds: f64,
-    /// What the client says that it waits.
-    pub budget: Duration,
-    /// How long the last service takes.
-    pub work: Duration,
+    /// Deadline that the client sends with each request.
+    pub deadline: Duration,
+    /// Time that the last endpoint takes for a request.
+    pub service_time: Duration,
 }
 
-/// Measures calls through a chain.
+/// Measures requests through a chain of sidecars.
 pub fn measure_chain(options: &ChainOptions) -> Result<ChainReport, Error> {
-    let [own, ip] = own_addresses();
-    let listen = free_addresses(own, options.depth)?;
-    let services = Services {
+    let [sidecar_ip, ip] = loopback_addresses();
+    let listen = free_addresses(sidecar_ip, options.depth)?;
+    let stub_options = StubOptions {
         ip,
         zone: ZONE.to_owned(),
         count: options.depth,
-        work: options.work,
-        next: listen[1..].to_vec(),
+        service_time: options.service_time,
+        next_hops: listen[1..].to_vec(),
     };
-    let world = World::start(services)?;
-    let _sidecars = Sidecars::start(&options.program, ZONE, &listen, &world.discoveries)?;
-    let calls = (options.rate * options.seconds).ceil() as u64;
-    let (rate, budget) = (options.rate, options.budget);
-    let load = Load { target: listen[0], rate, calls, threads: THREADS, budget, first: 0 };
-    let outcome = call_at_rate(&load)?;
-    let attempts = world.seen.requests.load(Ordering::SeqCst);
+    let stubs = Stubs::start(stub_options)?;
+    let _sidecars = Sidecars::start(&options.program, ZONE, &listen, &stubs.discoveries)?;
+    let requests = (options.rate * options.seconds).ceil() as u64;
+    let (rate, deadline) = (options.rate, options.deadline);
+    let load = Load { target: listen[0], rate, requests, threads: THREADS, deadline, first_id: 0 };
+    let outcome = run_load(&load)?;
+    let attempts = stubs.last_endpoint.requests.load(Ordering::SeqCst);
     Ok(ChainReport {
         case: options.case,
         depth: options.depth,
         rate,
-        budget: budget.as_micros() as u64,
-        work: options.work.as_micros() as u64,
+        deadline_us: deadline.as_micros() as u64,
+        service_time_us: options.service_time.as_micros() as u64,
         served: Percentiles::of(&outcome.latency),
-        answered: Percentiles::of(&outcome.answered),
-        denied: outcome.denied,
+        response_time: Percentiles::of(&outcome.response_time),
+        rejected: outcome.rejected,
         failed: outcome.failed,
-        late: outcome.late,
-        attempts_at_the_end: attempts as f64 / calls.max(1) as f64,
-        budget_at_the_end: world.seen.budgets(),
-        sender_lateness: Percentiles::of(&outcome.lateness),
+        past_deadline: outcome.past_deadline,
+        attempts_per_request: attempts as f64 / requests.max(1) as f64,
+        remaining_deadline_us: stubs.last_endpoint.remaining_deadline_us(),
+        send_delay: Percentiles::of(&outcome.send_delay),
     })
 }
--- a/crates/latency/src/error.rs
+++ b/crates/latency/src/error.rs
@@ -1,37 +1,37 @@
-//! What can end a measurement early.
+//! Errors of a measurement.
 
 use std::io;
 use std::process::ExitStatus;
 use thiserror::Error;
 
-/// Why a measurement was refused or did not come to its end.
+/// A measurement that could not be started or completed.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// An option makes no sense.
+    /// A command-line option has an unusable value.
     #[error("--{option}: {reason}")]
-    Option {
-        /// The option's name as the command line has it.
+    InvalidOption {
+        /// The option's name on the command line, without the dashes.
         option: &'static str,
-        /// What is wrong with it.
+        /// Why the value is rejected.
         reason: String,
     },
-    /// A sidecar did not become ready.
+    /// A sidecar did not become ready in time.
     #[error("sidecar {sidecar}: not ready within {seconds} s")]
     NotReady {
-        /// Its place in the chain.
+        /// Position of the sidecar in the chain, from 0.
         sidecar: usize,
-        /// The bound.
+        /// The time limit.
         seconds: u64,
     },
-    /// A sidecar ended before it was ready.
-    #[error("sidecar {sidecar}: ended: {status}")]
-    Ended {
-        /// Its place in the chain.
+    /// A sidecar exited before it was ready.
+    #[error("sidecar {sidecar}: exited before it was ready: {status}")]
+    Exited {
+        /// Position of the sidecar in the chain, from 0.
         sidecar: usize,
-        /// How.
+        /// The process's exit status.
         status: ExitStatus,
     },
-    /// Input and output of the measurement itself.
+    /// I/O of the measurement itself failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
--- a/crates/latency/src/lib.rs
+++ b/crates/latency/src/lib.rs
@@ -1,8 +1,9 @@
-//! Latency that a real sidecar adds to calls: measured direct and through it in turns, and through a chain of sidecars.
+//! Measures the latency that a real sidecar adds to requests: alternately direct and through one sidecar, and through a
+//! chain of sidecars.
 //!
-//! The load is an open loop: calls are due at fixed moments, and a call's latency counts from when it was due, so a stall
-//! counts for every call that it delays (no coordinated omission). It runs beside the daemon, never in it, and has clock and
-//! threads of its own.
+//! The load generator is an open loop: requests are due at fixed times, and a request's latency counts from when it was
+//! due, so a stall counts for every request that it delays (no coordinated omission). The measurement runs in a process of
+//! its own beside the sidecars, with its own clock and threads.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 #![allow(clippy::disallowed_methods)]
@@ -12,12 +13,12 @@
 mod error;
 mod load;
 mod report;
-mod service;
 mod sidecar;
+mod stub;
 
-pub use added::{AddedOptions, measure_added};
+pub use added::{AddedLatencyOptions, measure_added_latency};
 pub use chain::{ChainOptions, measure_chain};
 pub use error::Error;
-pub use load::{Load, Outcome, call_at_rate};
-pub use report::{AddedReport, ChainReport, Machine, Percentiles, Range, Report, load_average};
-pub use service::{Seen, Services, World};
+pub use load::{Load, Outcome, run_load};
+pub use report::{AddedLatencyReport, ChainReport, Machine, Percentiles, Range, Report, load_average};
+pub use stub::{EndpointStats, StubOptions, Stubs};
--- a/crates/latency/src/load.rs
+++ b/crates/latency/src/load.rs
@@ -1,186 +1,184 @@
-//! The load: calls that are due at fixed moments, whatever became of those before.
+//! Open-loop load generator: requests are due at fixed times, however long earlier ones take.
 
 use hdrhistogram::Histogram;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// An answer that takes longer than this is counted as failed.
-const PATIENCE: Duration = Duration::from_secs(10);
-const MAX_HEAD: usize = 16 << 10;
+/// A request whose response takes longer than this counts as failed.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_HEAD_BYTES: usize = 16 << 10;
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// Figures are exact to three digits.
-const DIGITS: u8 = 3;
+/// Precision of the latency histograms.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A load on one address.
+/// Requests to be sent to one address at a fixed rate.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// Who is called.
+    /// Address that the requests are sent to.
     pub target: SocketAddr,
-    /// Calls a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Calls in all.
-    pub calls: u64,
-    /// Threads, each with a connection of its own; they take the calls in turn.
+    /// Total number of requests.
+    pub requests: u64,
+    /// Number of threads, each with its own connection; request `i` is sent by thread `i % threads`.
     pub threads: u64,
-    /// What a call says that its client waits.
-    pub budget: Duration,
-    /// The first call's number; numbers of open calls must differ.
-    pub first: u64,
+    /// Deadline that each request carries.
+    pub deadline: Duration,
+    /// Id of the first request; ids of requests in progress must differ.
+    pub first_id: u64,
 }
 
-/// What became of a load.
+/// Results of a load.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// Microseconds from when a served call was due until its answer was whole.
+    /// Microseconds from when a served request was due until its response was complete.
     pub latency: Histogram<u64>,
-    /// Microseconds from when a call was due until its sender came to it.
-    pub lateness: Histogram<u64>,
-    /// Microseconds from when a call was sent until any answer was whole.
-    pub answered: Histogram<u64>,
-    /// Answered with 200.
+    /// Microseconds from when a request was due until its thread sent it.
+    pub send_delay: Histogram<u64>,
+    /// Microseconds from when a request was sent until its response, of any status, was complete.
+    pub response_time: Histogram<u64>,
+    /// Requests answered with 200.
     pub served: u64,
-    /// Answered with 503 or 504.
-    pub denied: u64,
-    /// Answered otherwise, or not at all.
+    /// Requests answered with 503 (rejected) or 504 (timed out).
+    pub rejected: u64,
+    /// Requests with any other response, or none.
     pub failed: u64,
-    /// Answered later after being sent than the budget allows.
-    pub late: u64,
+    /// Requests that ended later than their deadline, counted from when they were sent.
+    pub past_deadline: u64,
 }
 
 impl Outcome {
-    /// Nothing yet.
+    /// Empty results.
     pub fn new() -> io::Result<Outcome> {
         let histogram = || {
-            Histogram::new_with_bounds(1, MAX_LATENCY_US, DIGITS)
+            Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
                 .map_err(|error| io::Error::other(error.to_string()))
         };
         Ok(Outcome {
             latency: histogram()?,
-            lateness: histogram()?,
-            answered: histogram()?,
+            send_delay: histogram()?,
+            response_time: histogram()?,
             served: 0,
-            denied: 0,
+            rejected: 0,
             failed: 0,
-            late: 0,
+            past_deadline: 0,
         })
     }
 
-    /// Adds another's calls.
+    /// Adds the results of another load.
     pub fn add(&mut self, other: &Outcome) -> io::Result<()> {
         let pairs = [
             (&mut self.latency, &other.latency),
-            (&mut self.lateness, &other.lateness),
-            (&mut self.answered, &other.answered),
+            (&mut self.send_delay, &other.send_delay),
+            (&mut self.response_time, &other.response_time),
         ];
         for (sum, part) in pairs {
             sum.add(part).map_err(|error| io::Error::other(error.to_string()))?;
         }
         self.served += other.served;
-        self.denied += other.denied;
+        self.rejected += other.rejected;
         self.failed += other.failed;
-        self.late += other.late;
+        self.past_deadline += other.past_deadline;
         Ok(())
     }
 }
 
-/// Makes the calls and waits for what becomes of them.
-pub fn call_at_rate(load: &Load) -> io::Result<Outcome> {
-    // All threads are there before the first call is due.
+/// Sends the requests and waits until all have ended.
+pub fn run_load(load: &Load) -> io::Result<Outcome> {
+    // Leaves time for all threads to start before the first request is due.
     let start = Instant::now() + Duration::from_millis(50);
     let threads: Vec<_> = (0..load.threads)
         .map(|thread| {
             let load = *load;
-            std::thread::spawn(move || call_in_turn(&load, thread, start))
+            std::thread::spawn(move || run_thread(&load, thread, start))
         })
         .collect();
-    let mut all = Outcome::new()?;
+    let mut total = Outcome::new()?;
     for thread in threads {
-        let outcome = thread.join().map_err(|_| io::Error::other("a thread of the load panicked"))??;
-        all.add(&outcome)?;
+        let outcome = thread.join().map_err(|_| io::Error::other("a load generator thread panicked"))??;
+        total.add(&outcome)?;
     }
-    Ok(all)
+    Ok(total)
 }
 
-/// One thread's share: every so many-th call.
-fn call_in_turn(load: &Load, thread: u64, start: Instant) -> io::Result<Outcome> {
+/// Sends the requests of one thread: `thread`, `thread + threads`, and so on.
+fn run_thread(load: &Load, thread: u64, start: Instant) -> io::Result<Outcome> {
     let mut outcome = Outcome::new()?;
     let mut client = Client { target: load.target, stream: None };
-    let mut call = thread;
-    while call < load.calls {
-        let due = start + Duration::from_secs_f64(call as f64 / load.rate);
+    let mut index = thread;
+    while index < load.requests {
+        let due = start + Duration::from_secs_f64(index as f64 / load.rate);
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         let sent = Instant::now();
-        let status = client.call(load.first + call, load.budget);
-        let answered = Instant::now();
+        let status = client.send(load.first_id + index, load.deadline);
+        let ended = Instant::now();
         let micros = |from: Instant, to: Instant| to.saturating_duration_since(from).as_micros() as u64;
-        outcome.lateness.saturating_record(micros(due, sent).max(1));
+        outcome.send_delay.saturating_record(micros(due, sent).max(1));
         match status {
             Ok(200) => {
                 outcome.served += 1;
-                outcome.latency.saturating_record(micros(due, answered).max(1));
+                outcome.latency.saturating_record(micros(due, ended).max(1));
             }
-            Ok(503 | 504) => outcome.denied += 1,
+            Ok(503 | 504) => outcome.rejected += 1,
             _ => outcome.failed += 1,
         }
         if status.is_ok() {
-            outcome.answered.saturating_record(micros(sent, answered).max(1));
+            outcome.response_time.saturating_record(micros(sent, ended).max(1));
         }
-        outcome.late += u64::from(answered.saturating_duration_since(sent) > load.budget);
-        call += load.threads;
+        outcome.past_deadline += u64::from(ended.saturating_duration_since(sent) > load.deadline);
+        index += load.threads;
     }
     Ok(outcome)
 }
 
-/// A client with one connection, kept between calls.
+/// A client with one keep-alive connection.
 struct Client {
     target: SocketAddr,
     stream: Option<TcpStream>,
 }
 
 impl Client {
-    /// The status of a call's answer.
-    fn call(&mut self, number: u64, budget: Duration) -> io::Result<u16> {
+    /// Sends a request and returns the status of its response.
+    fn send(&mut self, id: u64, deadline: Duration) -> io::Result<u16> {
         let mut stream = match self.stream.take() {
             Some(stream) => stream,
             None => {
                 let stream = TcpStream::connect(self.target)?;
                 stream.set_nodelay(true)?;
-                stream.set_read_timeout(Some(PATIENCE))?;
+                stream.set_read_timeout(Some(READ_TIMEOUT))?;
                 stream
             }
         };
-        stream.write_all(request(number, budget).as_bytes())?;
-        let (status, keeps) = read_answer(&mut stream)?;
-        if keeps {
+        stream.write_all(request_head(id, deadline).as_bytes())?;
+        let (status, keep_alive) = read_response(&mut stream)?;
+        if keep_alive {
             self.stream = Some(stream);
         }
         Ok(status)
     }
 }
 
-/// A call as a client sends it.
-pub fn request(number: u64, budget: Duration) -> String {
-    let micros = budget.as_micros();
-    format!(
-        "GET /plan/{number} HTTP/1.1\r\nHost: h\r\nX-Call-Id: {number:016x}\r\nX-Budget: {micros}u\r\n\r\n"
-    )
+/// Formats a request as a client sends it.
+pub fn request_head(id: u64, deadline: Duration) -> String {
+    let micros = deadline.as_micros();
+    format!("GET /plan/{id} HTTP/1.1\r\nHost: h\r\nX-Call-Id: {id:016x}\r\nX-Budget: {micros}u\r\n\r\n")
 }
 
-/// Reads an answer to its end: its status, and whether the connection stays open.
-fn read_answer(stream: &mut TcpStream) -> io::Result<(u16, bool)> {
+/// Reads a whole response; returns its status and whether the connection stays open.
+fn read_response(stream: &mut TcpStream) -> io::Result<(u16, bool)> {
     let invalid = || io::Error::from(io::ErrorKind::InvalidData);
     let mut bytes = Vec::with_capacity(512);
-    let mut piece = [0; 4096];
+    let mut chunk = [0; 4096];
     loop {
-        let read = stream.read(&mut piece)?;
+        let read = stream.read(&mut chunk)?;
         if read == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        bytes.extend_from_slice(&piece[..read]);
+        bytes.extend_from_slice(&chunk[..read]);
         let head = bytes.windows(4).position(|window| window == b"\r\n\r\n");
         let Some(head) = head else {
-            if bytes.len() > MAX_HEAD {
+            if bytes.len() > MAX_HEAD_BYTES {
                 return Err(invalid());
             }
             continue;
@@ -194,7 +192,7 @@
     }
 }
 
-/// A header's value in a head of lower case.
+/// Value of a header in a head whose letters are all lower case.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let named = |line: &'a str| line.split_once(':').filter(|(found, _)| *found == name);
     head.lines().find_map(named).map(|(_, value)| value.trim())
--- a/crates/latency/src/report.rs
+++ b/crates/latency/src/report.rs
@@ -1,54 +1,54 @@
-//! What was measured.
+//! The report of a measurement, which is printed as JSON.
 
 use crate::load::Outcome;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Everything of one measurement.
+/// Results of all measurements of one run of the program.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// How the figures were taken.
+    /// Description of how the figures were measured.
     pub method: Vec<&'static str>,
-    /// The machine, shared with other work.
+    /// The machine on which the measurement ran.
     pub machine: Machine,
-    /// Direct and through one sidecar in turns, by rate.
-    pub added: Vec<AddedReport>,
-    /// Through a chain of sidecars.
+    /// Latency that one sidecar adds, by request rate.
+    pub added: Vec<AddedLatencyReport>,
+    /// Latency through a chain of sidecars, by case.
     pub chain: Vec<ChainReport>,
 }
 
-/// The machine on which it ran.
+/// The machine on which a measurement ran; other work may run on it too.
 #[derive(Debug, Clone, Serialize)]
 pub struct Machine {
-    /// Processors.
+    /// Number of available processors.
     pub processors: usize,
-    /// The load average of a minute, before and after.
+    /// One-minute load average before and after the measurement.
     pub load_average: [Option<f64>; 2],
 }
 
-/// The load average of the last minute.
+/// The machine's one-minute load average; `None` if it cannot be read.
 pub fn load_average() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/loadavg").ok()?;
     text.split_whitespace().next()?.parse().ok()
 }
 
-/// Microseconds at some percentiles.
+/// Percentiles of a duration in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Percentiles {
-    /// Calls.
+    /// Number of requests.
     pub n: u64,
-    /// Half are at most this.
+    /// Median.
     pub p50: u64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99: u64,
-    /// 999 in 1,000.
+    /// 99.9th percentile.
     pub p999: u64,
-    /// The longest.
+    /// Maximum.
     pub max: u64,
 }
 
 impl Percentiles {
-    /// Of a histogram in microseconds.
+    /// Percentiles of a histogram in microseconds.
     pub fn of(histogram: &Histogram<u64>) -> Percentiles {
         Percentiles {
             n: histogram.len(),
@@ -60,65 +60,66 @@
     }
 }
 
-/// Least, middle and greatest of the rounds.
+/// Minimum, median and maximum over the rounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Range {
-    /// The least.
+    /// Minimum.
     pub min: i64,
-    /// The middle one.
+    /// Median; the lower of the two middle values if their number is even.
     pub median: i64,
-    /// The greatest.
+    /// Maximum.
     pub max: i64,
 }
 
 impl Range {
-    /// Of these figures; `None` of none.
-    pub fn of(figures: impl IntoIterator<Item = i64>) -> Option<Range> {
-        let mut sorted: Vec<i64> = figures.into_iter().collect();
+    /// The range of the values; `None` if there are none.
+    pub fn of(values: impl IntoIterator<Item = i64>) -> Option<Range> {
+        let mut sorted: Vec<i64> = values.into_iter().collect();
         sorted.sort_unstable();
         let (min, max) = (*sorted.first()?, *sorted.last()?);
         Some(Range { min, median: sorted[(sorted.len() - 1) / 2], max })
     }
 }
 
-/// What a sidecar adds at one rate, in microseconds.
+/// Latency that a sidecar adds at one request rate, in microseconds.
 #[derive(Debug, Clone, Serialize)]
-pub struct AddedReport {
-    /// Calls a second.
+pub struct AddedLatencyReport {
+    /// Requests per second.
     pub rate: f64,
-    /// Rounds, each direct and then through the sidecar.
+    /// Number of rounds, each with a direct phase and a phase through the sidecar.
     pub rounds: usize,
-    /// Direct, all rounds together.
+    /// Latency of direct requests over all rounds.
     pub direct: Percentiles,
-    /// Through the sidecar, all rounds together.
+    /// Latency through the sidecar over all rounds.
     pub sidecar: Percentiles,
-    /// The difference at p50, by round.
+    /// Range over the rounds of the difference of the medians.
     pub added_p50: Option<Range>,
-    /// At p99.
+    /// Range over the rounds of the difference of the 99th percentiles.
     pub added_p99: Option<Range>,
-    /// At p999.
+    /// Range over the rounds of the difference of the 99.9th percentiles.
     pub added_p999: Option<Range>,
-    /// How late the senders were: direct, and through the sidecar.
-    pub sender_lateness: [Percentiles; 2],
-    /// Calls that were not served: direct, and through the sidecar.
+    /// Delay from when a request was due until it was sent: direct, and through the sidecar.
+    #[serde(rename = "sender_lateness")]
+    pub send_delay: [Percentiles; 2],
+    /// Requests that were not answered with 200: direct, and through the sidecar.
     pub not_served: [u64; 2],
 }
 
-impl AddedReport {
-    /// Of rounds, each direct and then through the sidecar.
-    pub fn of(rate: f64, rounds: &[[Outcome; 2]]) -> std::io::Result<AddedReport> {
+impl AddedLatencyReport {
+    /// The report of a number of rounds, each with the results direct and through the sidecar.
+    pub fn from_rounds(rate: f64, rounds: &[[Outcome; 2]]) -> std::io::Result<AddedLatencyReport> {
         let (mut direct, mut sidecar) = (Outcome::new()?, Outcome::new()?);
-        for [first, second] in rounds {
-            direct.add(first)?;
-            sidecar.add(second)?;
+        for [direct_round, sidecar_round] in rounds {
+            direct.add(direct_round)?;
+            sidecar.add(sidecar_round)?;
         }
-        let added = |figure: fn(&Percentiles) -> u64| {
+        let added = |percentile: fn(&Percentiles) -> u64| {
             Range::of(rounds.iter().map(|[direct, sidecar]| {
-                let of = |outcome: &Outcome| figure(&Percentiles::of(&outcome.latency)) as i64;
-                of(sidecar) - of(direct)
+                let latency = |outcome: &Outcome| percentile(&Percentiles::of(&outcome.latency)) as i64;
+                latency(sidecar) - latency(direct)
             }))
         };
-        Ok(AddedReport {
+        Ok(AddedLatencyReport {
             rate,
             rounds: rounds.len(),
             direct: Percentiles::of(&direct.latency),
@@ -126,39 +127,47 @@
             added_p50: added(|percentiles| percentiles.p50),
             added_p99: added(|percentiles| percentiles.p99),
             added_p999: added(|percentiles| percentiles.p999),
-            sender_lateness: [&direct, &sidecar].map(|outcome| Percentiles::of(&outcome.lateness)),
-            not_served: [&direct, &sidecar].map(|outcome| outcome.denied + outcome.failed),
+            send_delay: [&direct, &sidecar].map(|outcome| Percentiles::of(&outcome.send_delay)),
+            not_served: [&direct, &sidecar].map(|outcome| outcome.rejected + outcome.failed),
         })
     }
 }
 
-/// What a chain of sidecars came to.
+/// Results of one case of a chain of sidecars.
 #[derive(Debug, Clone, Serialize)]
 pub struct ChainReport {
-    /// What was played.
+    /// Name of the case.
     pub case: &'static str,
-    /// Sidecars, each before a service that calls the next.
+    /// Number of sidecars, each in front of an endpoint that calls the next sidecar.
     pub depth: usize,
-    /// Calls a second.
+    /// Requests per second.
     pub rate: f64,
-    /// What the client said that it waits, in microseconds.
-    pub budget: u64,
-    /// The last service takes so long, in microseconds.
-    pub work: u64,
-    /// Microseconds of served calls, from when they were due.
+    /// Deadline that the client sent with each request, in microseconds.
+    #[serde(rename = "budget")]
+    pub deadline_us: u64,
+    /// Time that the last endpoint takes for a request, in microseconds.
+    #[serde(rename = "work")]
+    pub service_time_us: u64,
+    /// Latency of served requests from when they were due, in microseconds.
     pub served: Percentiles,
-    /// Microseconds of all answers, from when the call was sent.
-    pub answered: Percentiles,
-    /// Calls that were denied.
-    pub denied: u64,
-    /// Calls that failed.
+    /// Latency of all responses from when their request was sent, in microseconds.
+    #[serde(rename = "answered")]
+    pub response_time: Percentiles,
+    /// Requests answered with 503 (rejected) or 504 (timed out).
+    #[serde(rename = "denied")]
+    pub rejected: u64,
+    /// Requests with any other response than 200, 503 or 504, or none.
     pub failed: u64,
-    /// Calls answered later than the client said that it waits.
-    pub late: u64,
-    /// Requests that came to the last service, for each call of the client.
-    pub attempts_at_the_end: f64,
-    /// The least and the most that was left of the budget at the last service, in microseconds.
-    pub budget_at_the_end: Option<(u64, u64)>,
-    /// How late the senders were.
-    pub sender_lateness: Percentiles,
+    /// Requests that ended later than their deadline, counted from when they were sent.
+    #[serde(rename = "late")]
+    pub past_deadline: u64,
+    /// Attempts that reached the last endpoint for each request of the client.
+    #[serde(rename = "attempts_at_the_end")]
+    pub attempts_per_request: f64,
+    /// Shortest and longest remaining deadline at the last endpoint, in microseconds.
+    #[serde(rename = "budget_at_the_end")]
+    pub remaining_deadline_us: Option<(u64, u64)>,
+    /// Delay from when a request was due until it was sent, in microseconds.
+    #[serde(rename = "sender_lateness")]
+    pub send_delay: Percentiles,
 }
--- a/crates/latency/tests/flags.rs
+++ b/crates/latency/tests/flags.rs
@@ -1,4 +1,4 @@
-//! The names of this program's command line, on which scripts and pages rely. Help texts may change, these may not.
+//! Names of this program's subcommands and flags, on which scripts and pages rely. Help texts may change, these may not.
 #![allow(clippy::disallowed_methods)]
 
 use std::process::{Command, Output, Stdio};
@@ -6,28 +6,28 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cometcroft-latency");
 
-/// Runs the program to its end, for 60 s at most.
+/// Runs the program until it exits, for 60 s at most.
 fn run(args: &[&str]) -> Output {
     let mut command = Command::new(PROGRAM);
     command.args(args).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
-    let mut child = command.spawn().expect("it starts");
-    let until = Instant::now() + Duration::from_secs(60);
-    while child.try_wait().expect("a process").is_none() {
-        if Instant::now() > until {
+    let mut child = command.spawn().expect("the program starts");
+    let kill_at = Instant::now() + Duration::from_secs(60);
+    while child.try_wait().expect("the status of the process").is_none() {
+        if Instant::now() > kill_at {
             let _ = child.kill();
-            panic!("{args:?} does not end");
+            panic!("{args:?}: still running after 60 s");
         }
         std::thread::sleep(Duration::from_millis(5));
     }
     child.wait_with_output().expect("its output")
 }
 
-/// What `--help` names, a line for the command and one for each of its subcommands: subcommands, then flags, each with
-/// its possible values if the help lists them.
-fn named(path: &[&str]) -> Vec<String> {
+/// Names that `--help` lists, as one line for the command and one for each of its subcommands: first the subcommands, then
+/// the flags, each with its possible values if the help lists them.
+fn names_in_help(path: &[&str]) -> Vec<String> {
     let output = run(&[path, &["--help"]].concat());
     assert!(output.status.success(), "{path:?}: {output:?}");
-    let help = String::from_utf8(output.stdout).expect("text");
+    let help = String::from_utf8(output.stdout).expect("UTF-8");
     let (mut section, mut commands, mut flags) = ("", Vec::new(), Vec::<String>::new());
     for line in help.lines().filter(|line| !line.is_empty()) {
         let (text, first) = (line.trim_start(), line.split_whitespace().next().unwrap_or_default());
@@ -47,16 +47,17 @@
             flags.extend(values.split(", ").map(|value| format!("={value}")));
         }
     }
-    let own = commands.iter().map(|command| (*command).to_owned()).chain(flags).collect::<Vec<_>>().join(" ");
-    let mut all = vec![format!("{}: {own}", path.join(" ")).trim_start_matches(": ").to_owned()];
+    let names =
+        commands.iter().map(|command| (*command).to_owned()).chain(flags).collect::<Vec<_>>().join(" ");
+    let mut lines = vec![format!("{}: {names}", path.join(" ")).trim_start_matches(": ").to_owned()];
     for command in commands {
-        all.extend(named(&[path, &[command]].concat()));
+        lines.extend(names_in_help(&[path, &[command]].concat()));
     }
-    all
+    lines
 }
 
 #[test]
-fn the_flags_are_these() {
+fn flag_names_are_stable() {
     let flags = "--program --rates --rounds --seconds --depth --out --help --version";
-    assert_eq!(named(&[]), [flags]);
+    assert_eq!(names_in_help(&[]), [flags]);
 }
--- a/crates/latency/tests/refusals.rs
+++ b/crates/latency/tests/invalid_options.rs
@@ -1,9 +1,9 @@
-//! Options that make no sense get one line and a non-zero exit, before anything is started.
+//! An invalid option ends the program with one error line and a non-zero exit code, before any process is started.
 
 use std::process::Command;
 
 #[test]
-fn absurd_options_get_one_line_that_names_the_option() {
+fn an_invalid_option_gets_one_error_line_that_names_it() {
     let cases: [(&[&str], &str); 6] = [
         (&["--rates", "0"], "--rates"),
         (&["--rates", "100,1e9"], "--rates"),
