--- a/crates/capacity/src/data.rs
+++ b/crates/capacity/src/data.rs
@@ -1,4 +1,4 @@
-//! The measured data, as typed JSON: one record for each played fleet, and the module's benchmark.
+//! The measured data as typed JSON: one record per simulated fleet run, and one per benchmark of the module.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -8,27 +8,27 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Dataset {
-    /// Fleets that were played on the virtual clock.
+    /// Fleet runs on the virtual clock.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub fleets: Vec<FleetRecord>,
-    /// The module's list of backend servers at several lengths.
+    /// Benchmarks of the module's endpoint list at several lengths.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub module: Vec<ModuleRecord>,
 }
 
-/// What a fleet goes through while it is measured.
+/// The situation in which a fleet is measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Moment {
     /// All members start at once; then nothing happens.
     Rest,
-    /// As at rest, with the budget's lease as the operator's file has it by default.
+    /// Like `Rest`, with the default budget lease of the operator file.
     RestLongLease,
-    /// Revisions of the plan are agreed on.
+    /// Revisions of the plan are agreed.
     Change,
     /// One member is killed and starts again.
     Restart,
-    /// One member is killed for good.
+    /// One member is killed and does not come back.
     MachineLost,
     /// One zone of 17 is cut off and comes back.
     ZoneBack,
@@ -51,7 +51,7 @@
         Moment::Release,
     ];
 
-    /// The name in files and on the command line.
+    /// The name in data files and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Moment::Rest => "rest",
@@ -78,11 +78,11 @@
 pub enum Role {
     /// A sidecar with no other role.
     Sidecar,
-    /// It votes for the plan or the budget (now: keeper).
+    /// A voter of the plan or the budget.
     Voter,
-    /// It leads the plan.
+    /// The leader of the plan.
     Leader,
-    /// It divides the budget (now: divider).
+    /// The allocator of the budget.
     BudgetAllocator,
 }
 
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Whether machines set aside for control could take it from the sidecars.
-    pub fn can_be_set_aside(self) -> bool {
+    /// Whether dedicated control machines could take the role over from the sidecars.
+    pub fn can_move_to_control_machine(self) -> bool {
         self != Role::Sidecar
     }
 }
@@ -112,22 +112,22 @@
 pub enum Traffic {
     /// All kinds together.
     All,
-    /// Datagrams of the membership protocol.
+    /// Membership protocol, datagrams.
     MembershipDatagram,
-    /// Exchanges of whole views over connections.
+    /// Membership protocol, exchanges of whole views over connections.
     MembershipStream,
-    /// Messages of the budget protocol.
+    /// Budget protocol.
     Budget,
-    /// Messages of the plan as datagrams.
+    /// Plan protocol, datagrams.
     PlanDatagram,
-    /// Messages of the plan over connections.
+    /// Plan protocol, connections.
     PlanStream,
-    /// What none of the protocols sends.
+    /// Traffic that belongs to none of the protocols.
     Unknown,
 }
 
 impl Traffic {
-    /// The mechanism that sends it.
+    /// Name on the page of the mechanism that sends the traffic.
     pub fn mechanism(self) -> &'static str {
         match self {
             Traffic::All => "all kinds",
@@ -141,25 +141,25 @@
     }
 }
 
-/// The part of a run that a figure is taken over.
+/// The part of a run that a figure covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Period {
-    /// All of it, the start included.
+    /// The whole run, including the start.
     Whole,
-    /// Its last seconds, long after start and fault.
+    /// The last seconds of the run, long after the start and any fault.
     Steady,
 }
 
-/// A figure over the members of a role; in a file `[median, p99, max]`.
+/// Distribution of a figure over the members of a role; `[median, p99, max]` in data files.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "[f64; 3]", into = "[f64; 3]")]
 pub struct Spread {
-    /// The middle one.
+    /// Median.
     pub median: f64,
-    /// 99 of 100 have no more.
+    /// 99th percentile.
     pub p99: f64,
-    /// The greatest.
+    /// Maximum.
     pub max: f64,
 }
 
@@ -175,7 +175,7 @@
     }
 }
 
-/// What members of one role received and sent, together.
+/// Traffic of one role: received and sent together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoleRecord {
@@ -185,66 +185,69 @@
     pub period: Period,
     /// The kind of traffic.
     pub traffic: Traffic,
-    /// So many members had the role.
+    /// Number of members with the role.
     pub members: usize,
-    /// Bytes a second.
+    /// Bytes per second.
     pub bytes_s: Spread,
-    /// Messages a second.
+    /// Messages per second.
     pub messages_s: Spread,
-    /// Bytes in the worst ten seconds.
+    /// Bytes in the ten seconds with the most traffic.
     pub worst_ten_seconds_bytes: Spread,
 }
 
-/// One played fleet.
+/// One run of a simulated fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetRecord {
-    /// What it went through.
+    /// The situation that was measured.
     pub moment: Moment,
-    /// Its members at the start.
+    /// Number of members at the start.
     pub members: usize,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Virtual seconds.
+    /// Length of the run in seconds of the virtual clock.
     pub seconds: f64,
-    /// Rules that the judge found broken.
-    pub broken_rules: usize,
-    /// Bytes a second that a member sends on average over the whole run.
+    /// Number of violations that the checker found.
+    #[serde(rename = "broken_rules")]
+    pub violations: usize,
+    /// Mean bytes per second that a member sends over the whole run.
     pub mean_sent_bytes_s: f64,
-    /// Seconds from the last fault (or the start) until all views were equal; none if they did not become so.
+    /// Seconds from the last fault (or the start) until all views were equal; `None` if they never were.
     pub equal_s: Option<f64>,
-    /// The longest time from an entry's first sight until it was in force everywhere.
+    /// Longest time in seconds from when an entry was first seen until it was in force everywhere.
     pub in_force_s: Option<f64>,
-    /// Seconds from the last act until all members had all entries of the plan in force; none if they did not.
+    /// Seconds from the last action of the script until all entries of the plan were in force at all members; `None` if
+    /// they never were.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub agreed_s: Option<f64>,
-    /// What each role bore.
+    /// Traffic by role, period and kind.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub roles: Vec<RoleRecord>,
 }
 
 impl FleetRecord {
-    /// What a role bore of a kind of traffic in a period.
+    /// Traffic of a kind that a role had in a period.
     pub fn role(&self, role: Role, period: Period, traffic: Traffic) -> Option<&RoleRecord> {
         let wanted = (role, period, traffic);
         self.roles.iter().find(|record| (record.role, record.period, record.traffic) == wanted)
     }
 
-    /// Bytes that a member sent on average over the whole run.
+    /// Mean number of bytes that a member sent over the whole run.
     pub fn mean_sent_bytes(&self) -> f64 {
         self.mean_sent_bytes_s * self.seconds
     }
 }
 
-/// One benchmark of the module with a list of so many backend servers.
+/// Benchmark of the module with one length of the endpoint list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModuleRecord {
-    /// Backend servers in the list.
-    pub rows: u32,
-    /// Median time of a refresh, in nanoseconds.
+    /// Number of endpoints in the list.
+    #[serde(rename = "rows")]
+    pub endpoints: u32,
+    /// Median time of a refresh in nanoseconds.
     pub refresh_ns: f64,
-    /// Median time of a call from request to outcome, in nanoseconds.
+    /// Median time of a request, from its start to its outcome, in nanoseconds.
     pub call_ns: f64,
     /// Bytes of heap that the module holds.
     pub heap_bytes: f64,
@@ -262,7 +265,7 @@
 }
 
 impl Dataset {
-    /// Reads a data file; `file` is only named in errors.
+    /// Parses the text of a data file; `file` is its name for error messages.
     pub fn parse(text: &str, file: &str) -> Result<Dataset, DataError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let dataset: Dataset =
@@ -271,29 +274,30 @@
         Ok(dataset)
     }
 
-    /// The form of a file: one record a line.
+    /// Formats the dataset as a data file, with one record per line.
     pub fn to_text(&self) -> Result<String, serde_json::Error> {
         let fleets = lines(&self.fleets)?;
         let module = lines(&self.module)?;
         let sections = [("fleets", fleets), ("module", module)];
-        let filled = sections.into_iter().filter(|(_, lines)| !lines.is_empty());
-        let texts: Vec<String> = filled.map(|(name, lines)| format!("\"{name}\": [\n{lines}\n]")).collect();
+        let non_empty = sections.into_iter().filter(|(_, lines)| !lines.is_empty());
+        let texts: Vec<String> =
+            non_empty.map(|(name, lines)| format!("\"{name}\": [\n{lines}\n]")).collect();
         Ok(format!("{{{}}}\n", texts.join(",\n")))
     }
 
-    /// Adds another file's records.
+    /// Adds the records of another dataset.
     pub fn merge(&mut self, other: Dataset) {
         self.fleets.extend(other.fleets);
         self.module.extend(other.module);
     }
 
-    /// Puts the records into one order, whatever order they were measured in.
+    /// Sorts the records, so that their order does not depend on the order of the measurements.
     pub fn sort(&mut self) {
         self.fleets.sort_by_key(|record| (record.moment, record.members, record.seed));
-        self.module.sort_by_key(|record| record.rows);
+        self.module.sort_by_key(|record| record.endpoints);
     }
 
-    /// The largest fleet that was measured in a moment.
+    /// Number of members of the largest fleet that was measured in a moment.
     pub fn largest_fleet(&self, moment: Moment) -> usize {
         let of_moment = self.fleets.iter().filter(|record| record.moment == moment);
         of_moment.map(|record| record.members).max().unwrap_or(0)
@@ -312,9 +316,9 @@
 
     fn at(file: &str, field: &str, error: &serde_json::Error) -> DataError {
         let text = error.to_string().replace('\n', " ");
-        // The place is told before it already.
-        let place = format!(" at line {} column {}", error.line(), error.column());
-        let reason = text.strip_suffix(&place).unwrap_or(&text).to_owned();
+        // `DataError` shows the position before the reason.
+        let position = format!(" at line {} column {}", error.line(), error.column());
+        let reason = text.strip_suffix(&position).unwrap_or(&text).to_owned();
         DataError {
             file: file.to_owned(),
             line: error.line(),
--- a/crates/capacity/src/page/measured.rs
+++ b/crates/capacity/src/page/measured.rs
@@ -1,4 +1,4 @@
-//! Sections that rest on played fleets.
+//! Sections that are based on simulated fleet runs.
 
 use crate::arithmetic::DAY_SECONDS;
 use crate::data::{Dataset, Moment};
@@ -8,38 +8,42 @@
 use crate::target::Target;
 use std::collections::BTreeMap;
 
-/// Rows that the last section names.
-const NAMED_ROWS: usize = 12;
+/// Maximum number of rows in the table of the last section.
+const MAX_BREAKING_ROWS: usize = 12;
 
-/// The size to plan with.
-pub fn size(target: &Target) -> String {
+/// The fleet size to plan for.
+pub fn target_size(target: &Target) -> String {
     let (fleet, calls) = (&target.fleet, &target.calls);
     let mut table = Table::new(&["figure", "target"]);
-    let zone = f64::from(fleet.sidecars) / f64::from(fleet.zones);
-    let region = f64::from(fleet.sidecars) / f64::from(fleet.regions);
-    let endpoints = f64::from(fleet.sidecars) / f64::from(fleet.services);
-    let each = calls.per_second / f64::from(fleet.sidecars);
-    let every = DAY_SECONDS / target.changes.per_day;
+    let zone_size = f64::from(fleet.sidecars) / f64::from(fleet.zones);
+    let region_size = f64::from(fleet.sidecars) / f64::from(fleet.regions);
+    let service_size = f64::from(fleet.sidecars) / f64::from(fleet.services);
+    let rate_per_sidecar = calls.per_second / f64::from(fleet.sidecars);
+    let change_interval_s = DAY_SECONDS / target.changes.per_day;
     table.row(&["sidecars", &figure(f64::from(fleet.sidecars))]);
-    table.row(&["services", &format!("{}, of {} endpoints on average", fleet.services, figure(endpoints))]);
+    table
+        .row(&["services", &format!("{}, of {} endpoints on average", fleet.services, figure(service_size))]);
     table.row(&[
         "zones, regions",
         &format!(
             "{}, {}: {} sidecars a zone, {} a region",
             fleet.zones,
             fleet.regions,
-            figure(zone),
-            figure(region)
+            figure(zone_size),
+            figure(region_size)
         ),
     ]);
     table.row(&["machines set aside for control", &fleet.control_machines.to_string()]);
-    table.row(&["calls a second", &format!("{}: {} a sidecar", figure(calls.per_second), figure(each))]);
+    table.row(&[
+        "calls a second",
+        &format!("{}: {} a sidecar", figure(calls.per_second), figure(rate_per_sidecar)),
+    ]);
     table.row(&[
         "changes a day",
         &format!(
             "{}: one in {} s, in force everywhere within {} s",
             figure(target.changes.per_day),
-            figure(every),
+            figure(change_interval_s),
             figure(target.changes.in_force_within.exact().as_secs_f64())
         ),
     ]);
@@ -55,8 +59,8 @@
     format!("## The size to plan with\n\n{}", table.text())
 }
 
-/// Which runs the figures rest on.
-pub fn runs(data: &Dataset) -> String {
+/// The runs that the figures are based on.
+pub fn measured_runs(data: &Dataset) -> String {
     let mut table = Table::new(&["moment", "sizes", "seeds", "runs", "runs with a broken rule"]);
     for moment in Moment::ALL {
         let records: Vec<_> = data.fleets.iter().filter(|record| record.moment == moment).collect();
@@ -67,13 +71,13 @@
         let sizes: Vec<String> = sizes.keys().map(usize::to_string).collect();
         let seeds: BTreeMap<u64, usize> = records.iter().map(|record| (record.seed, 0)).collect();
         let seeds: Vec<String> = seeds.keys().map(u64::to_string).collect();
-        let broken = records.iter().filter(|record| record.broken_rules > 0).count();
+        let with_violations = records.iter().filter(|record| record.violations > 0).count();
         table.row(&[
             moment.name(),
             &sizes.join(", "),
             &seeds.join(", "),
             &records.len().to_string(),
-            &broken.to_string(),
+            &with_violations.to_string(),
         ]);
     }
     format!(
@@ -83,8 +87,8 @@
     )
 }
 
-/// Rows with a limit, those first that break at the smallest size.
-pub fn limits(target: &Target, rows: &[Row]) -> String {
+/// Rows with a limit, sorted by the size at which they reach it.
+pub fn rows_with_limit(target: &Target, rows: &[Row]) -> String {
     let size = f64::from(target.fleet.sidecars);
     let mut table = Table::new(&[
         "role",
@@ -102,7 +106,7 @@
         "most of it",
     ]);
     for row in rows.iter().filter(|row| row.limit.is_some()) {
-        let (least, most) = row.fit.range_at(size);
+        let (min, max) = row.fit.range_at(size);
         let unit = row.unit.name();
         table.row(&[
             row.role_name().to_owned(),
@@ -111,12 +115,12 @@
             breaks_at(row),
             format!("{} {unit}", figure(row.limit.unwrap_or_default())),
             format!("{} {unit}", figure(row.fit.curve.at(size))),
-            format!("{} to {}", figure(least), figure(most)),
-            row.load_at(size).map_or("-".to_owned(), percent),
+            format!("{} to {}", figure(min), figure(max)),
+            row.limit_ratio_at(size).map_or("-".to_owned(), percent),
             row.fit.curve.to_string(),
-            row.fit.points.to_string(),
+            row.fit.point_count.to_string(),
             percent(row.fit.residual),
-            format!("x {}", figure(row.fit.extrapolation(size))),
+            format!("x {}", figure(row.fit.extrapolation_factor(size))),
             row.mechanism.to_owned(),
         ]);
     }
@@ -131,25 +135,25 @@
 
 fn breaks_at(row: &Row) -> String {
     match row.breaks_at() {
-        Some(size) if size <= row.fit.measured.0 => format!("under {}", count(row.fit.measured.0)),
+        Some(size) if size <= row.fit.size_range.0 => format!("under {}", count(row.fit.size_range.0)),
         Some(size) => count(size),
         None => "not up to 1,000,000".to_owned(),
     }
 }
 
-/// Rows without a limit of their own.
-pub fn without_limit(target: &Target, rows: &[Row]) -> String {
+/// Rows without a limit.
+pub fn rows_without_limit(target: &Target, rows: &[Row]) -> String {
     let size = f64::from(target.fleet.sidecars);
     let mut table =
         Table::new(&["role", "moment", "figure", "at target", "range", "fit", "off by", "most of it"]);
     for row in rows.iter().filter(|row| row.limit.is_none()) {
-        let (least, most) = row.fit.range_at(size);
+        let (min, max) = row.fit.range_at(size);
         table.row(&[
             row.role_name().to_owned(),
             row.moment.to_owned(),
             row.figure.to_owned(),
             format!("{} {}", figure(row.fit.curve.at(size)), row.unit.name()),
-            format!("{} to {}", figure(least), figure(most)),
+            format!("{} to {}", figure(min), figure(max)),
             row.fit.curve.to_string(),
             percent(row.fit.residual),
             row.mechanism.to_owned(),
@@ -158,15 +162,15 @@
     format!("## Rows without a limit of their own\n\n{}", table.text())
 }
 
-/// The measured values that the fits go through.
-pub fn by_size(data: &Dataset, rows: &[Row]) -> String {
+/// The measured values that the curves were fitted to.
+pub fn measured_values(data: &Dataset, rows: &[Row]) -> String {
     let mut sizes: Vec<usize> = data.fleets.iter().map(|record| record.members).collect();
     sizes.sort_unstable();
     sizes.dedup();
     let titles: Vec<String> = sizes.iter().map(|size| format!("{size} sidecars")).collect();
-    let mut all = vec!["role", "moment", "figure"];
-    all.extend(titles.iter().map(String::as_str));
-    let mut table = Table::new(&all);
+    let mut columns = vec!["role", "moment", "figure"];
+    columns.extend(titles.iter().map(String::as_str));
+    let mut table = Table::new(&columns);
     for row in rows {
         let mut cells = vec![row.role_name().to_owned(), row.moment.to_owned(), row.figure.to_owned()];
         cells.extend(sizes.iter().map(|&size| median_and_range(&row.points, size)));
@@ -183,21 +187,21 @@
     let mut values: Vec<f64> = of_size.map(|point| point.value).collect();
     values.sort_by(f64::total_cmp);
     match (values.first(), values.last()) {
-        (Some(&least), Some(&most)) => {
-            let (middle, n) = (median(&values), values.len());
-            format!("{} ({}, {}), n={n}", figure(middle), figure(least), figure(most))
+        (Some(&min), Some(&max)) => {
+            let (median, n) = (median(&values), values.len());
+            format!("{} ({}, {}), n={n}", figure(median), figure(min), figure(max))
         }
         _ => "none".to_owned(),
     }
 }
 
-/// The median of sorted values.
+/// Median of sorted values.
 fn median(sorted: &[f64]) -> f64 {
     let half = sorted.len() / 2;
     if sorted.len().is_multiple_of(2) { (sorted[half - 1] + sorted[half]) / 2.0 } else { sorted[half] }
 }
 
-/// Moments in which something happens.
+/// Moments in which something happens to the fleet.
 const EVENTS: [Moment; 6] = [
     Moment::Change,
     Moment::Restart,
@@ -207,8 +211,8 @@
     Moment::Release,
 ];
 
-/// What moments cost beyond rest, and what that comes to over a day.
-pub fn excess(target: &Target, data: &Dataset) -> String {
+/// Bytes that each event costs beyond a fleet at rest, and their daily mean.
+pub fn event_costs(target: &Target, data: &Dataset) -> String {
     let size = f64::from(target.fleet.sidecars);
     let mut table = Table::new(&[
         "moment",
@@ -219,12 +223,12 @@
         "a day",
         "B/s over the day",
     ]);
-    let mut rows = 0;
+    let mut row_count = 0;
     for moment in EVENTS {
         let points = rows::excess(data, moment);
         let Some(fit) = Fit::of(&points) else { continue };
-        rows += 1;
-        let daily = times_a_day(target, moment);
+        row_count += 1;
+        let frequency = events_per_day(target, moment);
         let bytes = fit.curve.at(size);
         table.row(&[
             moment.name().to_owned(),
@@ -232,11 +236,12 @@
             figure(bytes),
             fit.curve.to_string(),
             percent(fit.residual),
-            daily.map_or("rare".to_owned(), |(times, _)| figure(times)),
-            daily.map_or("-".to_owned(), |(times, each)| figure(bytes / each * times / DAY_SECONDS)),
+            frequency.map_or("rare".to_owned(), |(per_day, _)| figure(per_day)),
+            frequency
+                .map_or("-".to_owned(), |(per_day, per_run)| figure(bytes / per_run * per_day / DAY_SECONDS)),
         ]);
     }
-    if rows == 0 {
+    if row_count == 0 {
         return String::new();
     }
     format!(
@@ -246,8 +251,8 @@
     )
 }
 
-/// How often a moment comes a day, and how many events its script holds.
-fn times_a_day(target: &Target, moment: Moment) -> Option<(f64, f64)> {
+/// Number of events of a moment per day, and number of events in its script; `None` for rare events.
+fn events_per_day(target: &Target, moment: Moment) -> Option<(f64, f64)> {
     match moment {
         Moment::Change => Some((target.changes.per_day, 10.0)),
         Moment::Restart => Some((target.failures.restarts_per_day, 1.0)),
@@ -256,36 +261,36 @@
     }
 }
 
-/// Which row breaks first, and which next.
-pub fn missing_first(target: &Target, rows: &[Row]) -> String {
+/// The rows that reach their limit below the target size, in the order in which they do.
+pub fn first_bottleneck(target: &Target, rows: &[Row]) -> String {
     let size = f64::from(target.fleet.sidecars);
     let breaking: Vec<&Row> =
-        rows.iter().filter(|row| row.breaks_at().is_some_and(|breaks| breaks < size)).collect();
+        rows.iter().filter(|row| row.breaks_at().is_some_and(|breaks_at| breaks_at < size)).collect();
     let Some(first) = breaking.first() else {
         return "## What is missing first\n\nNo row with data passes its limit below the target.\n"
             .to_owned();
     };
-    let stays = breaking.iter().find(|row| !row.can_be_set_aside());
-    let of_each = stays.filter(|row| *row != first).map_or(String::new(), |row| {
+    let first_for_all = breaking.iter().find(|row| !row.can_move_to_control_machine());
+    let for_all = first_for_all.filter(|row| *row != first).map_or(String::new(), |row| {
         format!(
             "- The first that every sidecar bears, so that no machine set aside can take it: {}\n",
-            described(row)
+            describe(row)
         )
     });
     format!(
-        "## What is missing first\n\n- The row that passes its limit at the smallest size: {}\n{of_each}- {} of {} rows with a \
+        "## What is missing first\n\n- The row that passes its limit at the smallest size: {}\n{for_all}- {} of {} rows with a \
          limit break below {} sidecars.\n\n{}",
-        described(first),
+        describe(first),
         breaking.len(),
         rows.iter().filter(|row| row.limit.is_some()).count(),
         figure(size),
-        order_of_breaking(&breaking),
+        breaking_table(&breaking),
     )
 }
 
-/// A row in words.
-fn described(row: &Row) -> String {
-    let measured = match row.broken_as_measured() {
+/// A row as a sentence.
+fn describe(row: &Row) -> String {
+    let measured = match row.exceeded_as_measured() {
         true => "It was beyond its limit at sizes that were measured",
         false => "This is extrapolated; no size that was measured was beyond it",
     };
@@ -299,7 +304,7 @@
     )
 }
 
-fn order_of_breaking(breaking: &[&Row]) -> String {
+fn breaking_table(breaking: &[&Row]) -> String {
     let mut table = Table::new(&[
         "order",
         "breaks at",
@@ -311,15 +316,15 @@
         "most of it",
     ]);
     let yes_or_no = |holds: bool| if holds { "yes" } else { "no" }.to_owned();
-    for (place, row) in breaking.iter().take(NAMED_ROWS).enumerate() {
+    for (index, row) in breaking.iter().take(MAX_BREAKING_ROWS).enumerate() {
         table.row(&[
-            (place + 1).to_string(),
+            (index + 1).to_string(),
             breaks_at(row),
             row.role_name().to_owned(),
             row.moment.to_owned(),
             row.figure.to_owned(),
-            yes_or_no(row.broken_as_measured()),
-            yes_or_no(row.can_be_set_aside()),
+            yes_or_no(row.exceeded_as_measured()),
+            yes_or_no(row.can_move_to_control_machine()),
             row.mechanism.to_owned(),
         ]);
     }
--- a/crates/capacity/src/table.rs
+++ b/crates/capacity/src/table.rs
@@ -1,4 +1,4 @@
-//! Markdown tables and the form of figures in them.
+//! Markdown tables and the number format in them.
 
 use std::fmt::Write;
 
@@ -9,7 +9,7 @@
 }
 
 impl Table {
-    /// A table with these column titles.
+    /// Starts a table with column titles.
     pub fn new(titles: &[&str]) -> Table {
         let mut table = Table { text: String::new() };
         table.row(titles);
@@ -23,13 +23,13 @@
         let _ = writeln!(self.text, "| {} |", cells.join(" | "));
     }
 
-    /// The table as text.
+    /// The table's Markdown text.
     pub fn text(self) -> String {
         self.text
     }
 }
 
-/// A figure with three significant digits at least and thousands separated.
+/// Formats a number with about three significant digits, whole from 100 and with separated thousands.
 pub fn figure(value: f64) -> String {
     let size = value.abs();
     if size >= 1000.0 {
@@ -45,7 +45,7 @@
     format!("{value:.decimals$}")
 }
 
-/// A whole number, thousands separated; rounded down.
+/// Formats a number rounded down to a whole one, with separated thousands.
 pub fn count(value: f64) -> String {
     thousands(value.floor())
 }
@@ -53,8 +53,8 @@
 fn thousands(value: f64) -> String {
     let digits = format!("{:.0}", value.abs());
     let mut text = if value < 0.0 { "-".to_owned() } else { String::new() };
-    for (place, digit) in digits.chars().enumerate() {
-        if place > 0 && (digits.len() - place).is_multiple_of(3) {
+    for (index, digit) in digits.chars().enumerate() {
+        if index > 0 && (digits.len() - index).is_multiple_of(3) {
             text.push(',');
         }
         text.push(digit);
@@ -62,7 +62,7 @@
     text
 }
 
-/// A share as percent.
+/// Formats a share as a percentage.
 pub fn percent(share: f64) -> String {
     format!("{} %", figure(share * 100.0))
 }
--- a/crates/capacity/src/target.rs
+++ b/crates/capacity/src/target.rs
@@ -3,59 +3,59 @@
 use cometcroft_tomlfile::{FileError, Time, key_at};
 use serde::Deserialize;
 
-/// All targets.
+/// The contents of the target file.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// The fleet's size.
+    /// Size of the fleet.
     pub fleet: FleetSize,
-    /// Its calls.
+    /// Requests between services.
     pub calls: Calls,
-    /// Changes of its configuration.
+    /// Changes of the configuration.
     pub changes: Changes,
-    /// What a sidecar may spend on control.
+    /// Limits of what a sidecar may use for control.
     pub sidecar: SidecarLimits,
-    /// How often parts of the fleet fail.
+    /// Failure rates of parts of the fleet.
     pub failures: Failures,
     /// How a release restarts sidecars.
     pub release: Release,
 }
 
-/// The fleet's size.
+/// Size of the fleet.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSize {
-    /// Sidecars, one for each endpoint.
+    /// Number of sidecars, one per endpoint.
     pub sidecars: u32,
-    /// Services that the endpoints belong to.
+    /// Number of services that the endpoints belong to.
     pub services: u32,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: u32,
-    /// Regions that the zones lie in.
+    /// Number of regions that the zones belong to.
     pub regions: u32,
-    /// Machines set aside for control.
+    /// Number of machines dedicated to control.
     pub control_machines: u32,
-    /// The longest round trip between two regions.
+    /// Longest round-trip time between two regions.
     pub longest_round_trip: Time,
 }
 
-/// Calls of the whole fleet.
+/// Requests of the whole fleet.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Calls {
-    /// Calls a second.
+    /// Requests per second.
     pub per_second: f64,
-    /// Hops of the deepest chain of calls.
+    /// Number of hops of the deepest call chain.
     pub depth: u32,
-    /// What the sidecar may add to a call at the 99th percentile.
+    /// Latency that the sidecar may add to a request, at the 99th percentile.
     pub added_p99: Time,
-    /// Time that the client at the top of a chain gives it.
+    /// Deadline that the client at the start of a chain sets.
     pub deadline: Time,
-    /// Attempts that a hop may make.
+    /// Maximum number of attempts per request at a hop.
     pub attempts: u32,
-    /// Retries for each first attempt that a plan's rule permits.
+    /// Retries per first attempt that a rule of the plan permits.
     pub retry_share: f64,
-    /// Retries a second that a plan's rule permits over the whole fleet.
+    /// Retries per second that a rule of the plan permits over the whole fleet.
     pub retry_ceiling: f64,
 }
 
@@ -63,35 +63,35 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Changes {
-    /// Changes a day.
+    /// Changes per day.
     pub per_day: f64,
     /// Time until a change is in force everywhere.
     pub in_force_within: Time,
 }
 
-/// What a sidecar may spend on control.
+/// Limits of what a sidecar may use for control.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SidecarLimits {
-    /// Share of one core.
+    /// Share of one processor core.
     pub core_share: f64,
     /// Bytes of memory.
     pub memory_bytes: f64,
-    /// Bytes a second, received and sent together.
+    /// Bytes per second, received and sent together.
     pub bytes_per_second: f64,
     /// Time until all views are equal again after a region has come back.
     pub equal_within: Time,
 }
 
-/// How often parts of the fleet fail.
+/// Failure rates of parts of the fleet.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Failures {
-    /// Machines lost a day.
+    /// Machines lost per day.
     pub machines_per_day: f64,
-    /// Restarts of sidecars a day.
+    /// Restarts of sidecars per day.
     pub restarts_per_day: f64,
-    /// How long a region stays cut off.
+    /// Time for which a region stays cut off.
     pub region_apart: Time,
 }
 
@@ -99,28 +99,28 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Release {
-    /// Time from a permit's grant until its sidecar is ready again and the permit returned (an assumption).
+    /// Assumed time from the grant of a permit until its sidecar is ready again and the permit is returned.
     pub restart_cycle: Time,
     /// Share of a zone's sidecars that may be out at once.
     pub out_share: f64,
 }
 
 impl Target {
-    /// Reads a target file; `file` is only named in errors.
+    /// Parses the text of a target file; `file` is its name for error messages.
     pub fn parse(text: &str, file: &str) -> Result<Target, FileError> {
         let target: Target = cometcroft_tomlfile::read(text, file)?;
-        match target.first_fault() {
+        match target.first_invalid_field() {
             None => Ok(target),
             Some((field, reason)) => Err(FileError::at(file, text, position(text, field), field, reason)),
         }
     }
 
-    /// The first field whose value makes no sense, and why.
-    fn first_fault(&self) -> Option<(&'static str, &'static str)> {
-        self.fault_of_counts().or_else(|| self.fault_of_order()).or_else(|| self.fault_of_figures())
+    /// The first field with an invalid value, and the reason.
+    fn first_invalid_field(&self) -> Option<(&'static str, &'static str)> {
+        self.invalid_count().or_else(|| self.invalid_order()).or_else(|| self.invalid_figure())
     }
 
-    fn fault_of_counts(&self) -> Option<(&'static str, &'static str)> {
+    fn invalid_count(&self) -> Option<(&'static str, &'static str)> {
         let counts = [
             ("sidecars", self.fleet.sidecars),
             ("services", self.fleet.services),
@@ -132,7 +132,7 @@
         counts.into_iter().find(|(_, count)| *count == 0).map(|(field, _)| (field, "must be at least 1"))
     }
 
-    fn fault_of_order(&self) -> Option<(&'static str, &'static str)> {
+    fn invalid_order(&self) -> Option<(&'static str, &'static str)> {
         let fleet = &self.fleet;
         let ordered = [
             ("services", fleet.services <= fleet.sidecars, "must not exceed sidecars"),
@@ -142,7 +142,7 @@
         ordered.into_iter().find(|(_, holds, _)| !holds).map(|(field, _, reason)| (field, reason))
     }
 
-    fn fault_of_figures(&self) -> Option<(&'static str, &'static str)> {
+    fn invalid_figure(&self) -> Option<(&'static str, &'static str)> {
         let shares = [
             ("core_share", self.sidecar.core_share),
             ("out_share", self.release.out_share),
@@ -175,7 +175,7 @@
     }
 }
 
-/// The byte at which a field's line begins; field names are unique in this file.
+/// Byte offset of the line that sets a field, which is unambiguous because field names are unique in a target file.
 fn position(text: &str, field: &str) -> usize {
     let mut start = 0;
     for line in text.split_inclusive('\n') {
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -1,20 +1,21 @@
-//! The page: rows in the order in which they break, and its generated part in place.
+//! The page: the order of its rows, and the replacement of its generated part.
 
 use cometcroft_capacity::data::{
     Dataset, FleetRecord, ModuleRecord, Moment, Period, Role, RoleRecord, Spread, Traffic,
 };
-use cometcroft_capacity::page::{self, BEGIN, END};
+use cometcroft_capacity::page::{self, BEGIN_MARKER, END_MARKER};
 use cometcroft_capacity::rows;
 use cometcroft_capacity::target::Target;
 
 const TARGET: &str = include_str!("../../../docs/capacity/target.toml");
 
 fn target() -> Target {
-    Target::parse(TARGET, "target.toml").expect("it is sound")
+    Target::parse(TARGET, "target.toml").expect("a valid target file")
 }
 
 fn module() -> Vec<ModuleRecord> {
-    let record = |rows: u32| ModuleRecord { rows, refresh_ns: 1500.0, call_ns: 250.0, heap_bytes: 28_000.0 };
+    let record =
+        |endpoints: u32| ModuleRecord { endpoints, refresh_ns: 1500.0, call_ns: 250.0, heap_bytes: 28_000.0 };
     vec![record(28), record(3600)]
 }
 
@@ -34,7 +35,7 @@
     }
 }
 
-/// A fleet in which a voter bears 60 bytes a second for each member, and a sidecar 1.
+/// A fleet in which each member costs a voter 60 bytes per second and a sidecar 1.
 fn record(moment: Moment, members: usize, seed: u64) -> FleetRecord {
     let size = members as f64;
     let roles = [(Role::Sidecar, 500.0 + size), (Role::Voter, 500.0 + 60.0 * size)];
@@ -43,7 +44,7 @@
     let mut records = Vec::new();
     for (name, bytes) in roles {
         for period in periods {
-            records.extend(kinds.map(|(kind, part)| role(name, period, kind, bytes * part)));
+            records.extend(kinds.map(|(kind, share)| role(name, period, kind, bytes * share)));
         }
     }
     let extra = if moment == Moment::Rest { 0.0 } else { size };
@@ -52,7 +53,7 @@
         members,
         seed,
         seconds: 60.0,
-        broken_rules: 0,
+        violations: 0,
         mean_sent_bytes_s: 800.0 + extra,
         equal_s: Some(1.0 + size / 1000.0),
         in_force_s: Some(0.5),
@@ -73,20 +74,20 @@
 
 #[test]
 fn the_row_that_breaks_at_the_smallest_size_comes_first() {
-    let rows = rows::all(&target(), &dataset());
+    let rows = rows::all_rows(&target(), &dataset());
     let first = &rows[0];
     assert_eq!((first.role_name(), first.moment), ("voter", "all start at once, worst 10 s"));
     assert_eq!(first.breaks_at().map(f64::round), Some(50.0), "500 + 60 N is 3,500 at 50");
     assert_eq!((rows[1].role_name(), rows[1].moment), ("voter", "at rest"));
     assert_eq!(rows[1].breaks_at().map(f64::round), Some(108.0), "500 + 60 N is 7,000 at 108");
-    assert!(rows[1].broken_as_measured());
+    assert!(rows[1].exceeded_as_measured());
     assert!(rows[1].mechanism.contains("status reports"), "{}", rows[1].mechanism);
     let breaks: Vec<f64> = rows.iter().map(|row| row.breaks_at().unwrap_or(f64::MAX)).collect();
     assert!(breaks.is_sorted(), "{breaks:?}");
 }
 
 #[test]
-fn what_an_event_costs_is_the_difference_to_rest_of_the_same_size_and_seed() {
+fn an_event_costs_the_difference_to_the_run_at_rest_with_the_same_size_and_seed() {
     let excess = rows::excess(&dataset(), Moment::Change);
     assert_eq!(excess.len(), 8);
     for point in excess {
@@ -95,36 +96,37 @@
 }
 
 #[test]
-fn the_page_names_what_is_missing_first() {
+fn the_page_names_the_first_bottleneck() {
     let page = page::render(&target(), &dataset());
-    let last = page.split("## What is missing first").nth(1).expect("it is there");
-    assert!(last.contains("**voter, all start at once, worst 10 s: bytes, p99 of members**"), "{last}");
-    assert!(last.contains("It was beyond its limit at sizes that were measured."), "{last}");
-    assert!(last.contains("| 2 | 108 | voter | at rest |"), "{last}");
-    let stays = "no machine set aside can take it: **sidecar, all start at once, worst 10 s";
-    assert!(last.contains(stays), "{last}");
+    let section = page.split("## What is missing first").nth(1).expect("the section");
+    assert!(section.contains("**voter, all start at once, worst 10 s: bytes, p99 of members**"), "{section}");
+    assert!(section.contains("It was beyond its limit at sizes that were measured."), "{section}");
+    assert!(section.contains("| 2 | 108 | voter | at rest |"), "{section}");
+    let first_for_all = "no machine set aside can take it: **sidecar, all start at once, worst 10 s";
+    assert!(section.contains(first_for_all), "{section}");
 }
 
-/// A moment that was measured up to a smaller size than rest is still held against rest of its own largest size.
+/// A moment whose largest measured size is smaller than that of rest is compared with rest at the moment's own largest
+/// size.
 #[test]
 fn a_moment_with_fewer_sizes_keeps_its_rows() {
     let mut dataset = dataset();
     dataset.fleets.extend((1..=2).map(|seed| record(Moment::Rest, 800, seed)));
     for members in [50, 100, 200, 400] {
-        let mut back = record(Moment::ZoneBack, members, 1);
-        back.roles.iter_mut().for_each(|role| role.worst_ten_seconds_bytes.p99 *= 3.0);
-        dataset.fleets.push(back);
+        let mut zone_back = record(Moment::ZoneBack, members, 1);
+        zone_back.roles.iter_mut().for_each(|role| role.worst_ten_seconds_bytes.p99 *= 3.0);
+        dataset.fleets.push(zone_back);
     }
-    let rows = rows::all(&target(), &dataset);
+    let rows = rows::all_rows(&target(), &dataset);
     assert!(rows.iter().any(|row| row.moment.starts_with("a zone of 17 back")));
     assert!(
         !rows.iter().any(|row| row.moment.starts_with("ten changes") && row.role.is_some()),
-        "no greater than the start"
+        "its worst window is not greater than that of the start"
     );
 }
 
 #[test]
-fn the_list_of_backend_servers_is_on_the_page_where_it_was_measured() {
+fn the_endpoint_list_is_on_the_page_only_if_it_was_measured() {
     let dataset = Dataset { module: module(), ..Dataset::default() };
     let page = page::render(&target(), &dataset);
     assert!(page.contains("| 28 | 1.50 us | 250 ns | 28.0 kB | 1,000 B |"), "{page}");
@@ -132,26 +134,26 @@
 }
 
 #[test]
-fn the_same_data_in_any_order_give_the_same_page() {
-    let (sorted, mut turned) = (dataset(), dataset());
-    turned.fleets.reverse();
-    turned.sort();
-    assert_eq!(page::render(&target(), &sorted), page::render(&target(), &turned));
+fn the_page_does_not_depend_on_the_order_of_the_data() {
+    let (sorted, mut reversed) = (dataset(), dataset());
+    reversed.fleets.reverse();
+    reversed.sort();
+    assert_eq!(page::render(&target(), &sorted), page::render(&target(), &reversed));
 }
 
 #[test]
-fn without_data_the_page_says_so() {
+fn a_page_without_data_says_that_no_row_passes_its_limit() {
     let page = page::render(&target(), &Dataset::default());
     assert!(page.contains("No row with data passes its limit"), "{page}");
 }
 
 #[test]
 fn only_the_part_between_the_markers_is_replaced() {
-    let page = format!("above\n{BEGIN}\nold\n{END}\nbelow\n");
-    let replaced = page::replace(&page, "new\n").expect("it has both markers");
-    assert_eq!(replaced, format!("above\n{BEGIN}\n\nnew\n\n{END}\nbelow\n"));
+    let page = format!("above\n{BEGIN_MARKER}\nold\n{END_MARKER}\nbelow\n");
+    let replaced = page::replace(&page, "new\n").expect("a page with both markers");
+    assert_eq!(replaced, format!("above\n{BEGIN_MARKER}\n\nnew\n\n{END_MARKER}\nbelow\n"));
     assert_eq!(page::replace(&replaced, "new\n").as_ref(), Ok(&replaced));
-    for broken in ["nothing", BEGIN, END, &format!("{END}{BEGIN}")] {
-        assert!(page::replace(broken, "new").is_err(), "{broken}");
+    for invalid in ["nothing", BEGIN_MARKER, END_MARKER, &format!("{END_MARKER}{BEGIN_MARKER}")] {
+        assert!(page::replace(invalid, "new").is_err(), "{invalid}");
     }
 }
--- a/crates/capacity/tests/target.rs
+++ b/crates/capacity/tests/target.rs
@@ -1,16 +1,16 @@
-//! The target file: what ships is read, and what makes no sense is one line with its place and field.
+//! The target file: the shipped one is read, and an invalid one gives a one-line error with position and field.
 
 use cometcroft_capacity::target::Target;
 
 const SHIPPED: &str = include_str!("../../../docs/capacity/target.toml");
 
 fn error(text: &str) -> String {
-    Target::parse(text, "target.toml").expect_err("it makes no sense").to_string()
+    Target::parse(text, "target.toml").expect_err("an invalid file").to_string()
 }
 
 #[test]
 fn the_shipped_file_holds_the_operators_figures() {
-    let target = Target::parse(SHIPPED, "target.toml").expect("it is sound");
+    let target = Target::parse(SHIPPED, "target.toml").expect("a valid file");
     assert_eq!((target.fleet.sidecars, target.fleet.zones, target.fleet.regions), (3600, 17, 5));
     assert_eq!((target.fleet.services, target.fleet.control_machines), (130, 17));
     assert_eq!((target.calls.per_second, target.calls.depth), (560_000.0, 13));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_unknown_field_is_named_with_its_place_and_the_nearest_known_one() {
+fn an_unknown_field_is_reported_with_its_position_and_the_nearest_known_field() {
     let error = error(&SHIPPED.replace("zones = 17", "zoness = 17"));
     assert!(error.starts_with("target.toml:7:1: zoness: unknown field"), "{error}");
     assert!(error.contains("did you mean \"zones\"?"), "{error}");
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn a_missing_field_is_named() {
+fn a_missing_field_is_reported() {
     let error = error(&SHIPPED.replace("per_day = 5300.0\n", ""));
     assert!(error.contains("per_day"), "{error}");
     assert_eq!(error.lines().count(), 1);
 }
 
 #[test]
-fn figures_that_make_no_sense_are_told_where_they_stand() {
+fn invalid_values_are_reported_with_their_position() {
     let cases = [
         ("sidecars = 3600", "sidecars = 0", "target.toml:5:1: sidecars: must be at least 1"),
         ("regions = 5", "regions = 18", "target.toml:8:1: regions: must not exceed zones"),
@@ -49,9 +49,9 @@
         ("depth = 13", "depth = \"deep\"", "depth"),
         ("deadline = \"3s\"", "deadline = \"3\"", "needs a unit"),
     ];
-    for (sound, broken, expected) in cases {
-        assert!(SHIPPED.contains(sound), "{sound}");
-        let error = error(&SHIPPED.replace(sound, broken));
+    for (valid, invalid, expected) in cases {
+        assert!(SHIPPED.contains(valid), "{valid}");
+        let error = error(&SHIPPED.replace(valid, invalid));
         assert!(error.contains(expected), "{error}");
         assert!(error.starts_with("target.toml:"), "{error}");
         assert_eq!(error.lines().count(), 1, "{error}");
--- a/crates/lab/src/capacity/module.rs
+++ b/crates/lab/src/capacity/module.rs
@@ -26,7 +26,7 @@
     for (rows, heap_bytes) in heap {
         let refresh_ns = median(criterion, "refresh", rows)?;
         let call_ns = median(criterion, "call", rows)?;
-        records.push(ModuleRecord { rows, refresh_ns, call_ns, heap_bytes });
+        records.push(ModuleRecord { endpoints: rows, refresh_ns, call_ns, heap_bytes });
     }
     Ok(records)
 }
--- a/crates/lab/src/capacity/record.rs
+++ b/crates/lab/src/capacity/record.rs
@@ -20,7 +20,7 @@
         members: report.members,
         seed: report.seed,
         seconds: rounded(report.seconds, THOUSANDTHS),
-        broken_rules: report.broken.len(),
+        violations: report.broken.len(),
         mean_sent_bytes_s: rounded(report.bytes_s + share + plan, TENTHS),
         equal_s: report.equal_s.map(time),
         in_force_s: agreed.and_then(|agreed| agreed.in_force_s.iter().copied().reduce(f64::max)).map(time),
--- a/crates/latency/tests/flags.rs
+++ b/crates/latency/tests/flags.rs
@@ -22,8 +22,8 @@
     child.wait_with_output().expect("its output")
 }
 
-/// Names that `--help` lists, as one line for the command and one for each of its subcommands: first the subcommands, then
-/// the flags, each with its possible values if the help lists them.
+/// Names that `--help` lists, as one line for the command and one for each of its subcommands: first the subcommands,
+/// then the flags, each with its possible values if the help lists them.
 fn names_in_help(path: &[&str]) -> Vec<String> {
     let output = run(&[path, &["--help"]].concat());
     assert!(output.status.success(), "{path:?}: {output:?}");
