--- a/crates/sidecar/tests/common/in_process.rs
+++ b/crates/sidecar/tests/common/in_process.rs
@@ -1,5 +1,4 @@
-//! A whole sidecar on loopback: its clients, endpoint servers and discovery are a few lines each, played by the test
-//! itself, step by step.
+//! A complete sidecar on loopback in the test process. The test itself plays clients, endpoint and discovery step by step.
 
 use super::program::unchanged_response;
 use cometcroft_platform::{Listener, Local, Platform, Resumed, Stream, Tokio};
@@ -22,39 +21,40 @@
 use tokio::sync::Notify;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 
-/// The daemon's platform, but for connections that come up only when the test lets them.
+/// The platform of the program, with outgoing connections that the test can hold back.
 #[derive(Clone, Default)]
 pub struct GatedPlatform(pub Rc<ConnectGates>);
 
-/// Where connections wait, and how many do.
+/// The addresses to which connections are held back.
 #[derive(Default)]
 pub struct ConnectGates {
-    shut: RefCell<HashSet<SocketAddr>>,
-    waits: Notify,
-    opened: Notify,
-    /// So many of the next connections are gone when they are accepted.
+    blocked: RefCell<HashSet<SocketAddr>>,
+    held_back: Notify,
+    unblocked: Notify,
+    /// Number of the next connections that are aborted when they are accepted.
     pub failing_accepts: Cell<u32>,
 }
 
 impl ConnectGates {
-    /// From now on connections to this place wait.
+    /// Holds back connections to this address from now on.
     pub fn block(&self, at: SocketAddr) {
-        self.shut.borrow_mut().insert(at);
+        self.blocked.borrow_mut().insert(at);
     }
 
-    /// Until here; those that wait come up.
+    /// Lets connections to this address through again, also those held back.
     pub fn unblock(&self, at: SocketAddr) {
-        self.shut.borrow_mut().remove(&at);
-        self.opened.notify_waiters();
+        self.blocked.borrow_mut().remove(&at);
+        self.unblocked.notify_waiters();
     }
 
-    /// A connection waits.
+    /// Waits until a connection is held back.
     pub async fn wait_until_blocked(&self) {
-        self.waits.notified().await;
+        self.held_back.notified().await;
     }
 }
 
-/// A connection that must send small writes at once: what the system holds back goes with a reset.
+/// A connection that fails the test when it is written to without `TCP_NODELAY`: bytes that the system holds back would be
+/// lost in a reset.
 #[derive(Debug)]
 pub struct NodelayStream(Resumed<TcpStream>, Cell<bool>);
 
@@ -85,7 +85,7 @@
 
 impl AsyncWrite for NodelayStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        assert!(self.1.get(), "a connection is written to that may hold small writes back");
+        assert!(self.1.get(), "written to a connection without TCP_NODELAY");
         Pin::new(&mut self.0).poll_write(cx, bytes)
     }
 
@@ -98,7 +98,7 @@
     }
 }
 
-/// A listener for those.
+/// A listener that may abort connections, see [`ConnectGates::failing_accepts`].
 pub struct GatedListener(TcpListener, Rc<ConnectGates>);
 
 impl Listener for GatedListener {
@@ -135,10 +135,10 @@
     }
 
     async fn connect(&self, to: SocketAddr) -> io::Result<NodelayStream> {
-        while self.0.shut.borrow().contains(&to) {
-            let opened = self.0.opened.notified();
-            self.0.waits.notify_one();
-            opened.await;
+        while self.0.blocked.borrow().contains(&to) {
+            let unblocked = self.0.unblocked.notified();
+            self.0.held_back.notify_one();
+            unblocked.await;
         }
         Ok(NodelayStream(Tokio.connect(to).await?, Cell::new(false)))
     }
@@ -148,19 +148,19 @@
     }
 }
 
-/// A connection's other side, as text.
+/// The test's side of a connection, as text.
 pub struct TestConnection(pub TcpStream);
 
 impl TestConnection {
     pub async fn to(sidecar: &Sidecar) -> TestConnection {
-        TestConnection(TcpStream::connect(&sidecar.address).await.expect("it listens"))
+        TestConnection(TcpStream::connect(&sidecar.address).await.expect("connect to the sidecar"))
     }
 
     pub async fn send(&mut self, text: &str) {
-        self.0.write_all(text.as_bytes()).await.expect("it reads");
+        self.0.write_all(text.as_bytes()).await.expect("write to the sidecar");
     }
 
-    /// One message with its body, or what there was of it at the end.
+    /// Receives one message with its body, or what was received of it before the end of the connection.
     pub async fn receive(&mut self) -> String {
         let mut text = String::new();
         loop {
@@ -178,12 +178,12 @@
         }
     }
 
-    /// Ends with a reset, whatever was sent or lies unread.
+    /// Closes with a reset, whatever was sent or is unread.
     pub fn reset(self) {
         socket2::SockRef::from(&self.0).set_linger(Some(Duration::ZERO)).expect("a socket");
     }
 
-    /// How it task: `Ok` after an orderly end, with what came before it.
+    /// Reads to the end of the connection: `Ok` with the rest after an orderly close.
     pub async fn read_to_end(&mut self) -> io::Result<String> {
         let mut text = Vec::new();
         self.0.read_to_end(&mut text).await?;
@@ -205,79 +205,80 @@
 }
 
 impl Sidecar {
-    /// Where its one endpoint server listens.
+    /// The address of its only endpoint.
     pub fn endpoint_address(&self) -> SocketAddr {
-        self.endpoint.local_addr().expect("bound")
+        self.endpoint.local_addr().expect("local address")
     }
 }
 
-/// Starts a sidecar that knows one endpoint server and plays a story with it.
-pub fn with_sidecar<F: Future<Output = ()>>(told: impl FnOnce(Sidecar) -> F) {
-    with_sidecar_config(|text| text, told);
+/// Runs a scenario with a sidecar that knows one endpoint.
+pub fn with_sidecar<F: Future<Output = ()>>(scenario: impl FnOnce(Sidecar) -> F) {
+    with_sidecar_config(|text| text, scenario);
 }
 
-/// The same once discovery, which has no news, has confirmed the list.
-pub fn with_confirmed_sidecar<F: Future<Output = ()>>(told: impl FnOnce(Sidecar) -> F) {
-    with_confirmed_sidecar_config(|text| text, told);
+/// Runs a scenario with a sidecar whose endpoint list discovery has confirmed and goes on confirming.
+pub fn with_confirmed_sidecar<F: Future<Output = ()>>(scenario: impl FnOnce(Sidecar) -> F) {
+    with_confirmed_sidecar_config(|text| text, scenario);
 }
 
-/// The same with another configuration.
+/// Like [`with_confirmed_sidecar`], with a changed configuration.
 pub fn with_confirmed_sidecar_config<F: Future<Output = ()>>(
     change: impl FnOnce(String) -> String,
-    told: impl FnOnce(Sidecar) -> F,
+    scenario: impl FnOnce(Sidecar) -> F,
 ) {
     with_sidecar_config(change, |sidecar| async {
         let discovery = confirm_all_calls(&sidecar);
         while !sidecar.lifecycle.query(|state, now| state.is_ready(now)) {
             Tokio.sleep(Duration::from_millis(2)).await;
         }
-        told(sidecar).await;
+        scenario(sidecar).await;
         discovery.abort();
     });
 }
 
-/// The same with another configuration.
+/// Like [`with_sidecar`], with a changed configuration.
 pub fn with_sidecar_config<F: Future<Output = ()>>(
     change: impl FnOnce(String) -> String,
-    told: impl FnOnce(Sidecar) -> F,
+    scenario: impl FnOnce(Sidecar) -> F,
 ) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
     LocalSet::new().block_on(&runtime, async {
         let any = || TcpListener::bind("127.0.0.1:0");
-        let (endpoint, discovery) = (any().await.expect("a port"), any().await.expect("a port"));
-        let (listener, door) = (any().await.expect("a port"), any().await.expect("a port"));
-        let at = |listener: &TcpListener| listener.local_addr().expect("an address").to_string();
+        let (endpoint, discovery) = (any().await.expect("bind a port"), any().await.expect("bind a port"));
+        let (listener, ops_listener) = (any().await.expect("bind a port"), any().await.expect("bind a port"));
+        let at = |listener: &TcpListener| listener.local_addr().expect("local address").to_string();
         let known = format!(
             r#"{{"index":1,"snapshot":true,"endpoints":[{{"name":"s","address":"{}","zone":"a","status":"up"}}]}}"#,
             at(&endpoint)
         );
         let text = change(super::config_json(&at(&listener), &at(&discovery), &known));
-        let config = Config::parse(&text, |_| None).expect("a configuration");
+        let config = Config::parse(&text, |_| None).expect("valid configuration");
         let counters = Rc::new(Counters::default());
         let platform = GatedPlatform::default();
         let lifecycle = Rc::new(Lifecycle::new(platform.clone(), config.max_deadline(), false));
-        let (address, ops, reloader) = (at(&listener), at(&door), ConfigReloader::new(&config));
-        let parts = Resources {
+        let (address, ops, reloader) = (at(&listener), at(&ops_listener), ConfigReloader::new(&config));
+        let resources = Resources {
             listener: GatedListener(listener, platform.0.clone()),
-            ops: Some(GatedListener(door, Rc::default())),
+            ops: Some(GatedListener(ops_listener, Rc::default())),
             reloader: reloader.clone(),
             lifecycle: lifecycle.clone(),
             counters: counters.clone(),
             fleet: None,
         };
         let (settings, gates) = (config.settings.clone(), platform.0.clone());
-        let task = spawn_local(cometcroft_sidecar::run(platform, config, parts));
-        let told =
-            told(Sidecar { address, ops, endpoint, discovery, reloader, settings, counters, lifecycle, gates, task });
-        Tokio.timeout(Duration::from_secs(30), told).await.expect("the story ends");
+        let task = spawn_local(cometcroft_sidecar::run(platform, config, resources));
+        let scenario =
+            scenario(Sidecar { address, ops, endpoint, discovery, reloader, settings, counters, lifecycle, gates, task });
+        Tokio.timeout(Duration::from_secs(30), scenario).await.expect("the scenario ends within 30 s");
     });
 }
 
 pub async fn accept(listener: &TcpListener) -> TestConnection {
-    TestConnection(listener.accept().await.expect("a connection").0)
+    TestConnection(listener.accept().await.expect("accept a connection").0)
 }
 
-/// The connection of a watch that goes on: discovery has answered the first call, that there is no news, and the next is read.
+/// The connection of a running watch: the first call was answered that nothing has changed, and the second one was received.
 pub async fn open_watch(sidecar: &Sidecar) -> TestConnection {
     let mut discovery = accept(&sidecar.discovery).await;
     discovery.receive().await;
@@ -286,56 +287,56 @@
     discovery
 }
 
-/// Answers each call to discovery after a moment: nothing has changed.
+/// Answers each call to discovery after 100 ms that nothing has changed.
 pub fn confirm_all_calls(sidecar: &Sidecar) -> JoinHandle<()> {
-    let address = sidecar.discovery.local_addr().expect("bound");
+    let address = sidecar.discovery.local_addr().expect("local address");
     let discovery = socket2::SockRef::from(&sidecar.discovery).try_clone().expect("a socket");
     let discovery = TcpListener::from_std(discovery.into()).expect("a listener");
-    assert_eq!(discovery.local_addr().expect("bound"), address);
+    assert_eq!(discovery.local_addr().expect("local address"), address);
     spawn_local(async move {
         loop {
-            let mut peer = accept(&discovery).await;
-            while !peer.receive().await.is_empty() {
+            let mut call = accept(&discovery).await;
+            while !call.receive().await.is_empty() {
                 Tokio.sleep(Duration::from_millis(100)).await;
-                peer.send(&unchanged_response()).await;
+                call.send(&unchanged_response()).await;
             }
         }
     })
 }
 
-/// A row of it: the one endpoint server.
+/// The entry of the only endpoint in a list of discovery.
 pub fn endpoint_entry(sidecar: &Sidecar, status: &str) -> String {
     format!(r#"{{"name":"s","address":"{}","zone":"a","status":"{status}"}}"#, sidecar.endpoint_address())
 }
 
-/// Settings of a customer to whose sidecars lists are pushed.
+/// Settings with which endpoint lists are pushed to the sidecar.
 pub fn with_pushed_lists(text: String) -> String {
     text.replace("\"subscribe\"", "\"automatic\"")
 }
 
-/// Connections to endpoint servers may take 9 s.
+/// Settings with which connecting to an endpoint may take 9 s.
 pub fn with_slow_connects(text: String) -> String {
     text.replace("\"dial-timeout-ns\":200000000", "\"dial-timeout-ns\":9000000000")
 }
 
-/// Whether a request of a class that may be repeated still gets to the endpoint server.
+/// Whether a request of a class that may be retried reaches the endpoint and is answered.
 pub async fn is_served(sidecar: &Sidecar) -> bool {
     let before = sidecar.counters.dispatches.get();
     let mut client = TestConnection::to(sidecar).await;
     client.send(PLAN_REQUEST).await;
-    let answered = tokio::select! {
-        answer = client.receive() => answer,
+    let response = tokio::select! {
+        response = client.receive() => response,
         mut server = accept(&sidecar.endpoint) => {
             server.receive().await;
             server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
             client.receive().await
         }
     };
-    assert!(sidecar.counters.dispatches.get() > before || answered.starts_with("HTTP/1.1 503"), "{answered}");
-    answered.starts_with("HTTP/1.1 200")
+    assert!(sidecar.counters.dispatches.get() > before || response.starts_with("HTTP/1.1 503"), "{response}");
+    response.starts_with("HTTP/1.1 200")
 }
 
-/// A connection that was just used rests before it is used again.
+/// Waits for 50 ms: a connection that was just used may then be reused, and pending events have been handled.
 pub async fn wait_until_reusable() {
     Tokio.sleep(Duration::from_millis(50)).await;
 }
--- a/crates/sidecar/tests/common/mod.rs
+++ b/crates/sidecar/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: one seed for every run, and a configuration.
+//! Helpers shared by the tests: the seed of the property tests, and a configuration.
 #![allow(dead_code, clippy::disallowed_methods)]
 
 pub mod in_process;
@@ -6,10 +6,12 @@
 
 use proptest::test_runner::{Config, RngSeed};
 
+/// The configuration of a property test, with the same seed in every run.
 pub fn proptest_config(cases: u32) -> Config {
     Config { cases, failure_persistence: None, rng_seed: RngSeed::Fixed(41), ..Config::default() }
 }
 
+/// The configuration file of a sidecar.
 pub fn config_json(listen: &str, discovery: &str, known: &str) -> String {
     let class = |name: &str, effect: &str| {
         format!(
--- a/crates/sidecar/tests/flags.rs
+++ b/crates/sidecar/tests/flags.rs
@@ -1,4 +1,4 @@
-//! The names of this program's command line, on which scripts and pages rely. Help texts may change, these may not.
+//! The names of the command line, on which operators' scripts rely: they must not change, while help texts may.
 #![allow(clippy::disallowed_methods)]
 
 use std::process::{Command, Output, Stdio};
@@ -6,28 +6,28 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cometcroft");
 
-/// Runs the program to its end, for 60 s at most.
+/// Runs the program to its end; panics after 60 s.
 fn run(args: &[&str]) -> Output {
     let mut command = Command::new(PROGRAM);
     command.args(args).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
-    let mut child = command.spawn().expect("it starts");
+    let mut child = command.spawn().expect("start the program");
     let until = Instant::now() + Duration::from_secs(60);
-    while child.try_wait().expect("a process").is_none() {
+    while child.try_wait().expect("query the process").is_none() {
         if Instant::now() > until {
             let _ = child.kill();
             panic!("{args:?} does not end");
         }
         std::thread::sleep(Duration::from_millis(5));
     }
-    child.wait_with_output().expect("its output")
+    child.wait_with_output().expect("read the output")
 }
 
-/// What `--help` names, a line for the command and one for each of its subcommands: subcommands, then flags, each with
-/// its possible values if the help lists them.
+/// The names in `--help`: one line for the command and one for each subcommand, each with subcommands, then flags with
+/// their possible values, if the help lists them.
 fn named(path: &[&str]) -> Vec<String> {
     let output = run(&[path, &["--help"]].concat());
     assert!(output.status.success(), "{path:?}: {output:?}");
-    let help = String::from_utf8(output.stdout).expect("text");
+    let help = String::from_utf8(output.stdout).expect("help in UTF-8");
     let (mut section, mut commands, mut flags) = ("", Vec::new(), Vec::<String>::new());
     for line in help.lines().filter(|line| !line.is_empty()) {
         let (text, first) = (line.trim_start(), line.split_whitespace().next().unwrap_or_default());
@@ -64,18 +64,18 @@
 #[test]
 fn the_fields_of_a_request_to_explain_are_these() {
     let file = std::env::temp_dir().join(format!("cometcroft-flags-{}.toml", std::process::id()));
-    std::fs::write(&file, "version = 1\n").expect("a file");
+    std::fs::write(&file, "version = 1\n").expect("write a file");
     let explain = |request: &str| {
-        let output = run(&["check", file.to_str().expect("a path"), "--plan", "--explain", request]);
+        let output = run(&["check", file.to_str().expect("path in UTF-8"), "--plan", "--explain", request]);
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
     for after in ["refused", "never-connected", "may-have-run", "late"] {
         let request = format!("class=a,tenant=b,tier=1,zone=c,after={after}");
         assert_eq!(explain(&request), (Some(0), String::new()), "{request}");
     }
-    let (code, told) = explain("after=early");
-    assert_eq!((code, told.contains("early")), (Some(2), true), "{told}");
-    let (code, told) = explain("name=a");
-    assert_eq!((code, told.contains("class, tenant, tier, zone or after")), (Some(2), true), "{told}");
-    std::fs::remove_file(&file).expect("it is there");
+    let (code, error) = explain("after=early");
+    assert_eq!((code, error.contains("early")), (Some(2), true), "{error}");
+    let (code, error) = explain("name=a");
+    assert_eq!((code, error.contains("class, tenant, tier, zone or after")), (Some(2), true), "{error}");
+    std::fs::remove_file(&file).expect("remove the file");
 }
--- a/crates/sidecar/tests/processes.rs
+++ b/crates/sidecar/tests/processes.rs
@@ -1,8 +1,9 @@
-//! Whole processes: descriptors that run out, signals that cross, many that restart at once, a hand-over with requests owed.
+//! Tests with real processes: exhausted file descriptors, several signals in a row, many simultaneous restarts, and a handover
+//! of the listening socket with open requests.
 #![allow(clippy::disallowed_methods)]
 mod common;
 
-use common::program::{NEXT_NUMBER, Process, list_json, sidecar_addresses, start_confirm_once};
+use common::program::{NEXT_NUMBER, Process, list_json, sidecar_addresses, start_one_shot_discovery};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::Ordering;
@@ -11,20 +12,21 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// A message up to its blank line; empty where its sender has ended.
+/// Reads the head of a message; empty if the connection has ended.
 fn head(stream: &mut TcpStream) -> String {
     common::program::read_head(stream).unwrap_or_default()
 }
 
+/// Connects, and retries for 10 s while there is no listener.
 fn connect(to: SocketAddr) -> TcpStream {
     let began = Instant::now();
     loop {
         match TcpStream::connect(to) {
             Ok(stream) => {
-                stream.set_read_timeout(Some(20 * 1000 * MS)).expect("a socket");
+                stream.set_read_timeout(Some(20 * 1000 * MS)).expect("set a socket option");
                 return stream;
             }
-            Err(error) => assert!(began.elapsed() < 10 * 1000 * MS, "nobody listens: {error}"),
+            Err(error) => assert!(began.elapsed() < 10 * 1000 * MS, "no listener after 10 s: {error}"),
         }
         std::thread::sleep(10 * MS);
     }
@@ -34,16 +36,18 @@
     let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
     let text = format!("{line} HTTP/1.1\r\nHost: h\r\nX-Call-Id: {number:x}\r\nX-Budget: 2900m\r\n");
     let body = if line.starts_with("POST") { "Content-Length: 2\r\n\r\nhi" } else { "\r\n" };
-    stream.write_all((text + body).as_bytes()).expect("it reads");
+    stream.write_all((text + body).as_bytes()).expect("write to the sidecar");
 }
 
+/// Whether the sidecar at this address answers `/up` with status 200.
 fn ready(at: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(at) else { return false };
-    stream.set_read_timeout(Some(1000 * MS)).expect("a socket");
+    stream.set_read_timeout(Some(1000 * MS)).expect("set a socket option");
     stream.write_all(b"GET /up HTTP/1.1\r\n\r\n").is_ok() && head(&mut stream).starts_with("HTTP/1.1 200")
 }
 
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until this holds, for 10 s at most.
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let began = Instant::now();
     while !holds() {
         assert!(began.elapsed() < 10 * 1000 * MS, "{what}");
@@ -51,18 +55,18 @@
     }
 }
 
-/// A backend server that answers each request when told to, and tells of each that has come.
-fn held() -> (SocketAddr, mpsc::Receiver<mpsc::Sender<()>>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("bound");
-    let (came, comes) = mpsc::channel();
+/// Starts an endpoint that hands each request to the test as a sender, and responds when the test sends on it.
+fn start_gated_endpoint() -> (SocketAddr, mpsc::Receiver<mpsc::Sender<()>>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+    let address = listener.local_addr().expect("local address");
+    let (arrived, arrivals) = mpsc::channel();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
-            let came = came.clone();
+            let arrived = arrived.clone();
             std::thread::spawn(move || {
                 while !head(&mut stream).is_empty() {
-                    let (go, goes) = mpsc::channel();
-                    if came.send(go).is_err() || goes.recv().is_err() {
+                    let (respond, released) = mpsc::channel();
+                    if arrived.send(respond).is_err() || released.recv().is_err() {
                         return;
                     }
                     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
@@ -70,27 +74,27 @@
             });
         }
     });
-    (at, comes)
+    (address, arrivals)
 }
 
-/// Clients that say nothing, clients that have been served and operators fill all places while discovery is down: requests
-/// are answered all the same, and discovery is found when it is back.
+/// Silent clients, idle clients and operators use up all descriptors while discovery is down. Requests must still be answered,
+/// and the sidecar must call discovery again soon after it is back.
 #[test]
 fn idle_clients_fill_the_descriptors_while_discovery_is_down() {
     for descriptors in [64, 256] {
-        let (server, _) = common::program::start_endpoint(Duration::ZERO, "", false);
+        let (endpoint, _) = common::program::start_endpoint(Duration::ZERO, "", false);
         let [listen, ops, discovery] = sidecar_addresses(1)[0];
         let config =
-            common::config_json(&listen.to_string(), &discovery.to_string(), &list_json(&[server], 1))
+            common::config_json(&listen.to_string(), &discovery.to_string(), &list_json(&[endpoint], 1))
                 .replace("\"sockets\":256", &format!("\"sockets\":{descriptors}"));
         let process = Process::start(&config, &[("LB_OPS", ops.to_string())], descriptors);
-        start_confirm_once(discovery).join().expect("no panic");
-        until("it is ready", || ready(listen));
+        start_one_shot_discovery(discovery).join().expect("no panic");
+        wait_until("it is ready", || ready(listen));
         let mut idle = Vec::new();
         for number in 0..descriptors {
             let mut client = connect(listen);
             if number % 2 == 0 && client.write_all(b"GET /up HTTP/1.1\r\n\r\n").is_ok() {
-                // One that was let go meanwhile hears nothing.
+                // The sidecar may have closed this connection in the meantime: there is no response then.
                 head(&mut client);
             }
             idle.push(client);
@@ -104,64 +108,70 @@
             assert!(head(&mut client).starts_with("HTTP/1.1 200"), "{descriptors} descriptors");
             idle.push(client);
         }
-        let back = TcpListener::bind(discovery).expect("its address");
-        back.set_nonblocking(true).expect("a socket");
+        let back = TcpListener::bind(discovery).expect("bind the address");
+        back.set_nonblocking(true).expect("set a socket option");
         let returned = Instant::now();
         while back.accept().is_err() {
-            assert!(returned.elapsed() < 6 * 1000 * MS, "discovery is back and is not asked");
+            assert!(returned.elapsed() < 6 * 1000 * MS, "discovery is back and gets no call");
             std::thread::sleep(5 * MS);
         }
         process.signal("TERM");
-        let said = process.wait();
-        let said = (said.status.success(), String::from_utf8_lossy(&said.stderr).into_owned());
-        assert!(said.0 && said.1.contains("\"accept_failures\":0,"), "{said:?}");
+        let output = process.wait();
+        let output = (output.status.success(), String::from_utf8_lossy(&output.stderr).into_owned());
+        assert!(output.0 && output.1.contains("\"accept_failures\":0,"), "{output:?}");
     }
 }
 
-/// A second SIGTERM, SIGINT after it, SIGHUP before and after: what was taken is answered, and the process ends well.
+/// A second SIGTERM, SIGINT after SIGTERM, SIGHUP before and after it: accepted requests are answered, and the process exits
+/// with success.
 #[test]
 fn signals_in_any_order_lose_no_request() {
     let orders = [["TERM", "TERM"], ["TERM", "INT"], ["HUP", "TERM"], ["TERM", "HUP"]];
-    let stories = orders.map(|order| {
+    let runs = orders.map(|order| {
         std::thread::spawn(move || {
-            let (server, comes) = held();
-            let discovery = common::program::start_discovery(vec![server]);
+            let (endpoint, arrivals) = start_gated_endpoint();
+            let discovery = common::program::start_discovery(vec![endpoint]);
             let [listen, _, _] = sidecar_addresses(1)[0];
             let config =
-                common::config_json(&listen.to_string(), &discovery.to_string(), &list_json(&[server], 1));
+                common::config_json(&listen.to_string(), &discovery.to_string(), &list_json(&[endpoint], 1));
             let process = Process::start(&config, &[], 256);
-            until("it is ready", || ready(listen));
-            let (mut owed, mut half) = (connect(listen), connect(listen));
-            request(&mut owed, "POST /book/1");
-            half.write_all(b"POST /book/2 HTTP/1.1\r\nX-Call-Id: half\r\n").expect("it reads");
-            let go = comes.recv().expect("a request");
+            wait_until("it is ready", || ready(listen));
+            let (mut open, mut half_sent) = (connect(listen), connect(listen));
+            request(&mut open, "POST /book/1");
+            half_sent
+                .write_all(b"POST /book/2 HTTP/1.1\r\nX-Call-Id: half\r\n")
+                .expect("write to the sidecar");
+            let respond = arrivals.recv().expect("receive a request");
             for signal in order {
                 process.signal(signal);
                 std::thread::sleep(100 * MS);
             }
-            // The other half, while it is on its way out.
-            half.write_all(b"X-Budget: 2000m\r\nContent-Length: 2\r\n\r\nhi").expect("it reads");
-            let other = comes.recv().expect("the other request");
-            for (go, client) in [(go, &mut owed), (other, &mut half)] {
-                go.send(()).expect("it waits");
+            // The second half of the other request arrives during the shutdown.
+            half_sent
+                .write_all(b"X-Budget: 2000m\r\nContent-Length: 2\r\n\r\nhi")
+                .expect("write to the sidecar");
+            let respond_other = arrivals.recv().expect("receive the other request");
+            for (respond, client) in [(respond, &mut open), (respond_other, &mut half_sent)] {
+                respond.send(()).expect("the endpoint waits");
                 assert!(head(client).starts_with("HTTP/1.1 200"), "{order:?}");
             }
             let output = process.wait();
-            let said = String::from_utf8_lossy(&output.stderr).into_owned();
-            assert!(output.status.success() && said.contains("\"served\":2,"), "{order:?}: {said}");
+            let log = String::from_utf8_lossy(&output.stderr).into_owned();
+            assert!(output.status.success() && log.contains("\"served\":2,"), "{order:?}: {log}");
         })
     });
-    for story in stories {
-        story.join().expect("no panic");
+    for run in runs {
+        run.join().expect("no panic");
     }
 }
 
-/// Thirty start at once with no list, and discovery serves calls in turn, 60 ms each, and turns away who waited for a second.
+/// Thirty sidecars without an endpoint list start at once. Discovery handles one call at a time, 60 ms each, and rejects calls
+/// that waited for more than 1 s.
 #[test]
-fn nine_in_ten_of_thirty_that_restart_at_once_are_ready_in_time_though_discovery_is_swamped() {
-    let (server, _) = common::program::start_endpoint(Duration::ZERO, "", false);
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let discovery = listener.local_addr().expect("bound");
+fn thirty_simultaneous_restarts_are_ready_in_time_with_overloaded_discovery() {
+    let (endpoint, _) = common::program::start_endpoint(Duration::ZERO, "", false);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+    let discovery = listener.local_addr().expect("local address");
     let (queue, calls) = mpsc::channel::<(TcpStream, Instant)>();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
@@ -174,22 +184,22 @@
             });
         }
     });
-    let whole = list_json(&[server], 1);
+    let list = list_json(&[endpoint], 1);
     std::thread::spawn(move || {
         for (mut stream, since) in calls {
-            let late = since.elapsed() > 1000 * MS;
-            let answer = if late {
+            let too_late = since.elapsed() > 1000 * MS;
+            let response = if too_late {
                 "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n".to_owned()
             } else {
                 std::thread::sleep(60 * MS);
-                let length = whole.len();
-                format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{whole}")
+                let length = list.len();
+                format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{list}")
             };
-            let _ = stream.write_all(answer.as_bytes());
+            let _ = stream.write_all(response.as_bytes());
         }
     });
-    let places = sidecar_addresses(30);
-    let processes: Vec<Process> = places
+    let addresses = sidecar_addresses(30);
+    let processes: Vec<Process> = addresses
         .iter()
         .map(|[listen, ..]| {
             Process::start(
@@ -201,7 +211,7 @@
         .collect();
     let (began, mut up) = (Instant::now(), vec![false; processes.len()]);
     while began.elapsed() < 10 * 1000 * MS && up.iter().any(|up| !up) {
-        for (up, [listen, ..]) in up.iter_mut().zip(&places) {
+        for (up, [listen, ..]) in up.iter_mut().zip(&addresses) {
             *up |= ready(*listen);
         }
         std::thread::sleep(50 * MS);
@@ -209,56 +219,58 @@
     assert!(up.iter().filter(|up| **up).count() >= 27, "{up:?}");
 }
 
-/// Two processes on one socket: the first answers what it owes and what comes on its connections, the second takes the rest.
+/// Two processes share a listening socket. After SIGTERM the first one answers its open requests and those that arrive on its
+/// connections; the second one serves new connections.
 #[test]
-fn at_a_hand_over_each_answers_what_it_has_taken() {
+fn at_a_handover_each_process_answers_the_requests_on_its_connections() {
     use std::os::fd::AsRawFd;
-    let (server, comes) = held();
-    let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
-    socket2::SockRef::from(&socket).set_cloexec(false).expect("a flag");
-    let clients = socket.local_addr().expect("bound");
-    let discovery = common::program::start_discovery(vec![server]);
+    let (endpoint, arrivals) = start_gated_endpoint();
+    let socket = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+    socket2::SockRef::from(&socket).set_cloexec(false).expect("clear close-on-exec");
+    let clients = socket.local_addr().expect("local address");
+    let discovery = common::program::start_discovery(vec![endpoint]);
     let [_, one, _] = sidecar_addresses(1)[0];
     let two = sidecar_addresses(1)[0][1];
-    let config = common::config_json(&clients.to_string(), &discovery.to_string(), &list_json(&[server], 1));
-    let begin = |ops: SocketAddr| {
+    let config =
+        common::config_json(&clients.to_string(), &discovery.to_string(), &list_json(&[endpoint], 1));
+    let start = |ops: SocketAddr| {
         let inherits = ("LB_SOCKET_FD", socket.as_raw_fd().to_string());
         Process::start(&config, &[inherits, ("LB_OPS", ops.to_string())], 256)
     };
     let serves = |ops: SocketAddr| {
         let Ok(mut stream) = TcpStream::connect(ops) else { return false };
-        let asked = stream.write_all(b"GET /ops/readiness HTTP/1.1\r\n\r\n");
-        asked.is_ok() && head(&mut stream).starts_with("HTTP/1.1 200")
+        let written = stream.write_all(b"GET /ops/readiness HTTP/1.1\r\n\r\n");
+        written.is_ok() && head(&mut stream).starts_with("HTTP/1.1 200")
     };
-    let old = begin(one);
-    until("the first is ready", || serves(one));
-    let (mut owed, mut kept) = (connect(clients), connect(clients));
-    request(&mut owed, "POST /book/1");
-    let first = comes.recv().expect("a request");
+    let old = start(one);
+    wait_until("the first process is ready", || serves(one));
+    let (mut open, mut kept) = (connect(clients), connect(clients));
+    request(&mut open, "POST /book/1");
+    let first = arrivals.recv().expect("receive a request");
     request(&mut kept, "GET /plan/1");
-    comes.recv().expect("a request").send(()).expect("it waits");
+    arrivals.recv().expect("receive a request").send(()).expect("the endpoint waits");
     assert!(head(&mut kept).starts_with("HTTP/1.1 200"));
     let mut body = [0; 2];
     kept.read_exact(&mut body).expect("a body");
-    let new = begin(two);
-    until("the second is ready", || serves(two));
+    let new = start(two);
+    wait_until("the second process is ready", || serves(two));
     old.signal("TERM");
-    until("the first says that it leaves", || !serves(one));
-    // On a connection that the first has, and on one that nobody has taken yet.
+    wait_until("the first process is not ready any more", || !serves(one));
+    // One request on a connection of the first process, and one on a new connection.
     request(&mut kept, "GET /plan/2");
-    let second = comes.recv().expect("a request");
+    let second = arrivals.recv().expect("receive a request");
     let mut fresh = connect(clients);
     request(&mut fresh, "GET /plan/3");
-    let third = comes.recv().expect("a request");
-    for (go, client) in [(third, &mut fresh), (second, &mut kept), (first, &mut owed)] {
-        go.send(()).expect("it waits");
+    let third = arrivals.recv().expect("receive a request");
+    for (respond, client) in [(third, &mut fresh), (second, &mut kept), (first, &mut open)] {
+        respond.send(()).expect("the endpoint waits");
         assert!(head(client).starts_with("HTTP/1.1 200"));
     }
     let output = old.wait();
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert!(output.status.success() && said.contains("\"served\":3,"), "{said}");
+    let log = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success() && log.contains("\"served\":3,"), "{log}");
     new.signal("TERM");
     let output = new.wait();
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert!(output.status.success() && said.contains("\"served\":1,"), "{said}");
+    let log = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success() && log.contains("\"served\":1,"), "{log}");
 }
--- a/crates/sidecar/tests/shutdown_soak.rs
+++ b/crates/sidecar/tests/shutdown_soak.rs
@@ -1,12 +1,13 @@
-//! A seeded soak of real processes through their end: clients use the connections that they have until SIGKILL, which comes
-//! as early as it may, signals come in series, and in some runs idle clients fill the descriptors. No request is lost.
+//! A seeded soak test of the shutdown of real processes. Clients use their connections until SIGKILL, which comes as early as
+//! allowed; several signals are sent; in some runs idle clients use up the file descriptors. No request may be lost.
 //!
-//! `SHUTDOWN_SOAK_SEEDS=1..50 cargo test -p cometcroft-sidecar --test shutdown_soak` plays other seeds than CI does.
+//! `SHUTDOWN_SOAK_SEEDS=1..50 cargo test -p cometcroft-sidecar --test shutdown_soak` runs other seeds than CI does.
 #![allow(clippy::disallowed_methods)]
 mod common;
 
 use common::program::{
-    NEXT_NUMBER, Process, list_json, read_head, send_raw, sidecar_addresses, start_confirm_once, start_stub,
+    NEXT_NUMBER, Process, list_json, read_head, send_raw, sidecar_addresses, start_one_shot_discovery,
+    start_stub,
 };
 use fastrand::Rng;
 use std::collections::HashSet;
@@ -18,29 +19,31 @@
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
-/// What CI plays: 5 and 104 lost requests once.
+/// The seeds of CI. Runs with the seeds 5 and 104 once lost requests.
 const SEEDS: [u64; 12] = [3, 5, 8, 101, 102, 103, 104, 105, 106, 107, 108, 147];
-/// Runs side by side.
+/// Number of concurrent runs.
 const JOBS: usize = 4;
 const CLIENTS: usize = 8;
-/// SIGKILL comes so long after SIGTERM at the earliest, beside the longest deadline, which counts as 3 s at most.
-const NOTICE: Duration = Duration::from_millis(700);
-const LONGEST: Duration = Duration::from_secs(3);
-/// A machine that stood still for so long makes a run void.
-const STALL: Duration = Duration::from_millis(150);
+/// The earliest SIGKILL follows SIGTERM after the longest client deadline, of which at most [`MAX_COUNTED_DEADLINE`] counts,
+/// plus this.
+const NOTICE_PERIOD: Duration = Duration::from_millis(700);
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// A run in which the host stalled for longer than this is void.
+const MAX_STALL: Duration = Duration::from_millis(150);
 
-/// What a run plays, drawn by its seed alone.
+/// The parameters of a run, drawn from its seed alone.
 #[derive(Debug)]
 struct Plan {
     deadline: Duration,
-    /// Signals, each with the pause before it. The first SIGTERM or SIGINT begins the end.
+    /// Signals, each with the pause before it. The first SIGTERM or SIGINT starts the shutdown.
     signals: Vec<(Duration, &'static str)>,
-    /// So many clients that say nothing.
-    crowd: usize,
-    /// Endpoints take so long; one may hang.
+    /// Number of clients that connect and send nothing.
+    idle_clients: usize,
+    /// Processing time of the endpoints.
     work: Duration,
+    /// Whether one endpoint hangs.
     hangs: bool,
-    /// Discovery goes down after its first answer.
+    /// Whether discovery goes down after its first response.
     discovery_down: bool,
 }
 
@@ -50,7 +53,7 @@
         let short = rng.f64() < 0.6;
         let deadline = if short { rng.u64(200..600) } else { rng.u64(600..4000) };
         let soon = |rng: &mut Rng| Duration::from_millis(rng.u64(0..50));
-        let series: &[&str] = match rng.u32(0..7) {
+        let names: &[&str] = match rng.u32(0..7) {
             0 => &["TERM"],
             1 => &["HUP", "HUP", "HUP", "TERM"],
             2 => &["HUP", "TERM"],
@@ -59,12 +62,12 @@
             5 => &["TERM", "INT"],
             _ => &["STOP", "CONT", "TERM", "STOP", "CONT"],
         };
-        let mut signals: Vec<_> = series.iter().map(|name| (soon(&mut rng), *name)).collect();
+        let mut signals: Vec<_> = names.iter().map(|name| (soon(&mut rng), *name)).collect();
         signals[0].0 = Duration::from_millis(rng.u64(500..1200));
         Plan {
             deadline: Duration::from_millis(deadline),
             signals,
-            crowd: if rng.u32(0..3) == 0 { 250 } else { 0 },
+            idle_clients: if rng.u32(0..3) == 0 { 250 } else { 0 },
             work: Duration::from_millis(rng.u64(0..deadline / 3)),
             hangs: rng.bool(),
             discovery_down: rng.u32(0..3) == 0,
@@ -72,24 +75,24 @@
     }
 }
 
-/// Starts a process, and waits until it is ready; tells where it listens.
+/// Starts a process and waits until it is ready; returns it with the address that it listens on.
 fn start(plan: &Plan, endpoints: &[SocketAddr], seed: u64) -> (Process, SocketAddr) {
-    let [listen, _, down] = sidecar_addresses(1)[0];
+    let [listen, _, discovery_address] = sidecar_addresses(1)[0];
     let known = list_json(endpoints, 1);
-    let whole = known.clone();
-    let answer = move |asked: &str| {
-        let held = asked.contains("hold_ms=");
-        if held && !asked.contains("hold_ms=0 ") {
+    let list = known.clone();
+    let respond = move |request: &str| {
+        let held = request.contains("hold_ms=");
+        if held && !request.contains("hold_ms=0 ") {
             sleep(500 * MS);
         }
-        let body = if held { r#"{"index":1,"snapshot":false,"endpoints":[]}"# } else { &whole };
+        let body = if held { r#"{"index":1,"snapshot":false,"endpoints":[]}"# } else { &list };
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
     };
     let discovery = if plan.discovery_down {
-        start_confirm_once(down);
-        down
+        start_one_shot_discovery(discovery_address);
+        discovery_address
     } else {
-        start_stub(move |asked, _| answer(asked)).0
+        start_stub(move |request, _| respond(request)).0
     };
     let deadline = plan.deadline.as_nanos();
     let config = common::config_json(&listen.to_string(), &discovery.to_string(), &known)
@@ -101,19 +104,19 @@
     while !send_raw(listen, "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")
         .is_some_and(|up| up.contains(" 200 "))
     {
-        assert!(began.elapsed() < 10_000 * MS, "it is not ready");
+        assert!(began.elapsed() < 10_000 * MS, "not ready after 10 s");
         sleep(10 * MS);
     }
     (process, listen)
 }
 
-/// How a request ended that was sent on an open connection.
+/// The end of a request that was sent on an open connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum End {
     Answered,
-    /// The connection ended in good order without a byte of an answer.
+    /// The connection was closed in order, without a byte of a response.
     Closed,
-    /// The connection broke.
+    /// The connection was reset, or closed within a response.
     Broken,
 }
 
@@ -125,7 +128,7 @@
     end: End,
 }
 
-/// Requests one after the other over a connection that is kept; a new one after each end, until nobody listens.
+/// Sends requests one after the other on a connection that is kept, and on a new one when it ends, until there is no listener.
 fn client(listen: SocketAddr, deadline: Duration, seed: u64, stop: &AtomicBool) -> Vec<Sent> {
     let mut rng = Rng::with_seed(seed);
     let mut sent = Vec::new();
@@ -164,8 +167,8 @@
         Ok(_) => {}
         Err(_) => return End::Broken,
     }
-    let Some(answer) = read_head(stream) else { return End::Broken };
-    let length = answer.to_ascii_lowercase();
+    let Some(head) = read_head(stream) else { return End::Broken };
+    let length = head.to_ascii_lowercase();
     let length = length.split("content-length: ").nth(1).and_then(|rest| rest.split('\r').next());
     let mut body = vec![0; length.and_then(|length| length.parse().ok()).unwrap_or(0)];
     match std::io::Read::read_exact(stream, &mut body) {
@@ -174,26 +177,27 @@
     }
 }
 
-/// What a run came to.
-struct Played {
+/// The result of a run.
+struct RunResult {
     sent: Vec<Sent>,
-    /// Ids that reached an endpoint.
+    /// Ids of the requests that reached an endpoint.
     forwarded: HashSet<String>,
     killed: Instant,
-    exited_by_itself: bool,
+    exited_before_kill: bool,
+    /// The longest time for which the host stalled.
     stall: Duration,
 }
 
-fn play(seed: u64, plan: &Plan) -> Played {
+fn run(seed: u64, plan: &Plan) -> RunResult {
     let forwarded = Arc::<Mutex<HashSet<String>>>::default();
     let endpoint = |number: usize| {
         let (seen, work, hangs) = (forwarded.clone(), plan.work, plan.hangs && number == 0);
         let deadline = plan.deadline;
-        start_stub(move |asked, _| {
-            if let Some(id) = asked.split("X-Call-Id: ").nth(1).and_then(|rest| rest.split('\r').next()) {
+        start_stub(move |request, _| {
+            if let Some(id) = request.split("X-Call-Id: ").nth(1).and_then(|rest| rest.split('\r').next()) {
                 seen.lock().expect("no panic").insert(id.to_owned());
             }
-            sleep(if hangs { deadline + LONGEST } else { work });
+            sleep(if hangs { deadline + MAX_COUNTED_DEADLINE } else { work });
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_owned()
         })
         .0
@@ -217,7 +221,8 @@
             std::thread::spawn(move || client(listen, deadline, seed * 100 + number, &stop))
         })
         .collect();
-    let crowd: Vec<_> = (0..plan.crowd).filter_map(|_| TcpStream::connect(listen).ok()).collect();
+    let idle_clients: Vec<_> =
+        (0..plan.idle_clients).filter_map(|_| TcpStream::connect(listen).ok()).collect();
     let mut begun = None;
     for (pause, name) in &plan.signals {
         sleep(*pause);
@@ -226,29 +231,31 @@
             begun.get_or_insert_with(Instant::now);
         }
     }
-    let kill_at = begun.expect("a series has one") + plan.deadline.min(LONGEST) + NOTICE;
+    let kill_at = begun.expect("each series has SIGTERM or SIGINT")
+        + plan.deadline.min(MAX_COUNTED_DEADLINE)
+        + NOTICE_PERIOD;
     sleep(kill_at.saturating_duration_since(Instant::now()));
-    let exited_by_itself = process.has_ended();
+    let exited_before_kill = process.has_ended();
     let killed = Instant::now();
-    // SIGKILL, and its end.
+    // Kills the process with SIGKILL.
     drop(process);
     stop.store(true, Ordering::SeqCst);
-    drop(crowd);
+    drop(idle_clients);
     let sent = clients.into_iter().flat_map(|client| client.join().expect("no panic")).collect();
     let stall = stalls.join().expect("no panic");
     let forwarded = forwarded.lock().expect("no panic").clone();
-    Played { sent, forwarded, killed, exited_by_itself, stall }
+    RunResult { sent, forwarded, killed, exited_before_kill, stall }
 }
 
-/// Requests that were taken and got no final answer: read and closed without one, or found unanswered by SIGKILL.
-fn lost(played: &Played) -> Vec<&Sent> {
+/// The lost requests: accepted, but without a final response before the connection was closed or SIGKILL came.
+fn lost(result: &RunResult) -> Vec<&Sent> {
     let is_lost = |sent: &&Sent| match sent.end {
         End::Answered => false,
-        // One that nobody read may be sent again.
-        End::Closed => played.forwarded.contains(&sent.id),
-        End::Broken => played.forwarded.contains(&sent.id) || sent.ended >= played.killed,
+        // A request that was not read is not lost: the client may send it again.
+        End::Closed => result.forwarded.contains(&sent.id),
+        End::Broken => result.forwarded.contains(&sent.id) || sent.ended >= result.killed,
     };
-    played.sent.iter().filter(is_lost).collect()
+    result.sent.iter().filter(is_lost).collect()
 }
 
 fn seeds() -> Vec<u64> {
@@ -259,63 +266,63 @@
     (from..=to).collect()
 }
 
-/// One run; what was lost in it, if it counts.
-fn judged(seed: u64) -> Option<Vec<String>> {
+/// Runs a seed; returns the lost requests, or `None` for a void run.
+fn check_seed(seed: u64) -> Option<Vec<String>> {
     let plan = Plan::draw(seed);
-    let played = play(seed, &plan);
-    let answered = played.sent.iter().filter(|sent| sent.end == End::Answered).count();
-    let lost: Vec<String> = lost(&played)
+    let result = run(seed, &plan);
+    let answered = result.sent.iter().filter(|sent| sent.end == End::Answered).count();
+    let lost: Vec<String> = lost(&result)
         .iter()
         .map(|sent| {
-            let before_kill = played.killed.saturating_duration_since(sent.at).as_millis();
+            let before_kill = result.killed.saturating_duration_since(sent.at).as_millis();
             format!("seed {seed}: {:?}, sent {before_kill} ms before SIGKILL, id {}", sent.end, sent.id)
         })
         .collect();
     println!(
-        "seed {seed}: {answered} of {} answered, {} lost, ended by itself: {}, longest stall {} ms, {plan:?}",
-        played.sent.len(),
+        "seed {seed}: {answered} of {} answered, {} lost, exited before SIGKILL: {}, longest stall {} ms, {plan:?}",
+        result.sent.len(),
         lost.len(),
-        played.exited_by_itself,
-        played.stall.as_millis(),
+        result.exited_before_kill,
+        result.stall.as_millis(),
     );
-    if played.stall > STALL {
-        println!("seed {seed}: void, the machine stood still");
+    if result.stall > MAX_STALL {
+        println!("seed {seed}: void, the host stalled");
         return None;
     }
     assert!(answered > 20, "seed {seed}: too few requests to judge");
-    let forwarded = played.forwarded.len();
+    let forwarded = result.forwarded.len();
     assert!(forwarded > 20, "seed {seed}: {forwarded} requests reached an endpoint, too few to judge");
     Some(lost)
 }
 
 #[test]
-fn no_request_is_lost_through_the_end_of_a_process() {
+fn no_request_is_lost_in_a_shutdown() {
     let seeds = Mutex::new(seeds().into_iter());
     let runs = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..JOBS {
             scope.spawn(|| {
                 while let Some(seed) = { seeds.lock().expect("no panic").next() } {
-                    let judged = judged(seed);
-                    runs.lock().expect("no panic").push(judged);
+                    let lost = check_seed(seed);
+                    runs.lock().expect("no panic").push(lost);
                 }
             });
         }
     });
     let runs = runs.into_inner().expect("no panic");
-    let sound: Vec<Vec<String>> = runs.iter().flatten().cloned().collect();
-    println!("{} runs, {} void", runs.len(), runs.len() - sound.len());
-    assert!(!sound.is_empty(), "the machine stood still in every run");
-    let lost: Vec<String> = sound.into_iter().flatten().collect();
+    let valid: Vec<Vec<String>> = runs.iter().flatten().cloned().collect();
+    println!("{} runs, {} void", runs.len(), runs.len() - valid.len());
+    assert!(!valid.is_empty(), "the host stalled in every run");
+    let lost: Vec<String> = valid.into_iter().flatten().collect();
     assert!(lost.is_empty(), "{} lost\n{}", lost.len(), lost.join("\n"));
 }
 
-/// The judge finds a request that an endpoint has got and whose connection ended without an answer.
+/// The check finds a request that reached an endpoint and whose connection was closed without a response.
 #[test]
-fn a_request_that_was_forwarded_and_closed_unanswered_is_found_lost() {
+fn a_forwarded_request_without_a_response_counts_as_lost() {
     let now = Instant::now();
     let sent = |id: &str, end, ended| Sent { id: id.to_owned(), at: now, ended, end };
-    let played = Played {
+    let result = RunResult {
         sent: vec![
             sent("answered", End::Answered, now),
             sent("unread", End::Closed, now),
@@ -324,9 +331,9 @@
         ],
         forwarded: HashSet::from(["read".to_owned()]),
         killed: now + 1000 * MS,
-        exited_by_itself: false,
+        exited_before_kill: false,
         stall: Duration::ZERO,
     };
-    let found: Vec<&str> = lost(&played).iter().map(|sent| sent.id.as_str()).collect();
+    let found: Vec<&str> = lost(&result).iter().map(|sent| sent.id.as_str()).collect();
     assert_eq!(found, ["read", "killed"]);
 }
--- a/crates/sidecar/tests/start_clock.rs
+++ b/crates/sidecar/tests/start_clock.rs
@@ -1,4 +1,4 @@
-//! Starts of endpoints keep their time on the monotonic clock, however the wall clock steps.
+//! Start times of endpoints stay fixed on the monotonic clock, however the wall clock is stepped.
 mod common;
 
 use cometcroft::Time;
@@ -10,20 +10,22 @@
 const UNIX: Duration = Duration::from_secs(1_800_000_000);
 const HOUR: i64 = 3600;
 
+/// `base` moved by this many seconds.
 fn at(base: Duration, seconds: i64) -> Duration {
     Duration::from_millis((base.as_millis() as i64 + seconds * 1000) as u64)
 }
 
+/// A Unix time in milliseconds, as discovery reports it.
 fn stamp(unix: Duration) -> i64 {
     unix.as_millis() as i64
 }
 
 #[test]
-fn a_start_is_placed_by_the_offset_of_its_time_whichever_way_the_clock_stepped() {
+fn a_start_time_is_converted_with_the_offset_of_its_period() {
     for step in [3, -3, HOUR, -HOUR] {
         let clock = StartClock::new(NOW, UNIX);
         clock.observe(at(NOW, 20), at(UNIX, 20));
-        // The step comes between 20 and 24 s.
+        // The wall clock is stepped between 20 s and 24 s.
         clock.observe(at(NOW, 24), at(UNIX, 24 + step));
         assert_eq!(clock.start_time(stamp(at(UNIX, 10))), Some(at(NOW, 10)), "before the step of {step} s");
         clock.observe(at(NOW, 40), at(UNIX, 40 + step));
@@ -38,7 +40,7 @@
 }
 
 #[test]
-fn a_clock_that_is_slewed_moves_no_start() {
+fn a_slewed_clock_moves_no_start_time() {
     let clock = StartClock::new(NOW, UNIX);
     let started = clock.start_time(stamp(at(UNIX, -5)));
     for second in 1..100u32 {
@@ -50,8 +52,8 @@
 
 proptest! {
     #![proptest_config(common::proptest_config(500))]
-    /// An endpoint that has started is never taken to have started earlier than it did, beyond what looks at the clock miss,
-    /// and never in the future: so it is never sent more than a cold one may be.
+    /// The start time is never earlier than the true one, beyond the precision of the observations, and never in the future:
+    /// a cold endpoint must not get more than a cold endpoint may get.
     #[test]
     fn no_step_makes_an_endpoint_look_warm(
         steps in proptest::collection::vec((1i64..30, -4000i64..4000), 0..6),
@@ -74,7 +76,7 @@
         }
         let placed = clock.start_time(stamped.expect("it has started"));
         let (true_start, now) = (at(NOW, started), at(NOW, look));
-        // A step of under a quarter of a second is none here, as all are whole seconds.
+        // Steps under 250 ms, which are not detected, do not occur here: all steps are whole seconds.
         prop_assert!(placed.is_some_and(|placed| placed >= true_start && placed <= now), "{placed:?} for {true_start:?}");
     }
 }
