--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration of a sidecar, read from the environment and from the file that `LB_CONFIG` names.
 
 use cometcroft::Settings;
-use cometcroft_settings::{Field, Sockets, hash, read_settings, read_sockets};
+use cometcroft_settings::{Field, SocketSettings, hash, read_settings, read_socket_settings};
 use serde_json::Value;
 use std::fmt;
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
     /// The fields of a load report.
     pub load_report_fields: Vec<Field>,
     /// Settings of the network side.
-    pub network: Sockets,
+    pub network: SocketSettings,
     /// The whole file, without the endpoint list.
     pub document: Rc<Value>,
 }
@@ -127,7 +127,7 @@
         let memory_mb = value.pointer("/limits/memory_mb").and_then(Value::as_u64).unwrap_or(192);
         let (name, listen) = (text("LB_NAME", "name")?, address("LB_LISTEN", "listen")?);
         let discovery = address("LB_DISCOVERY", "discovery")?;
-        let network = read_sockets(settings).map_err(|e| invalid("settings", e))?;
+        let network = read_socket_settings(settings).map_err(|e| invalid("settings", e))?;
         // The list may have thousands of entries: it is held once, and only until it has been applied.
         let known_endpoints = value.get_mut("known").map(Value::take).unwrap_or(Value::Null);
         Ok(Config {
--- a/crates/sidecar/src/discovery/call.rs
+++ b/crates/sidecar/src/discovery/call.rs
@@ -2,10 +2,10 @@
 //! kept however the call ends.
 
 use super::abandonment::Abandonment;
+use crate::discovery_connections::DiscoveryConnections;
 use crate::endpoint_list::{EndpointList, EndpointRecord, ListError, ListReader};
-use crate::http::client::{self, Exchange};
-use crate::http::{Fault, Piece};
-use crate::notices::Notices;
+use crate::http::client::{self, ResponseReader};
+use crate::http::{BodyPiece, ParseError};
 use crate::sockets::enable_nodelay;
 use bytes::{Bytes, BytesMut};
 use cometcroft_platform::{Elapsed, Platform, Stream};
@@ -54,9 +54,9 @@
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Outcome::Answered(EndpointList { index, whole, records }) => {
-                let scope = if *whole { "whole" } else { "changes" };
-                write!(f, "answered: version {index}, {scope}, {} rows", records.len())
+            Outcome::Answered(EndpointList { version, is_complete, records }) => {
+                let scope = if *is_complete { "whole" } else { "changes" };
+                write!(f, "answered: version {version}, {scope}, {} rows", records.len())
             }
             Outcome::Broken(Some(error)) => write!(f, "broken: {error}"),
             Outcome::Broken(None) => f.write_str("broken"),
@@ -98,7 +98,7 @@
     pub address: SocketAddr,
     pub target: String,
     /// The answer begins within this time.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// Makes one call, on the connection `kept` if that is still open.
@@ -106,11 +106,11 @@
     platform: &P,
     kept: Option<P::Stream>,
     question: Question,
-    notices: &Notices,
+    connections: &DiscoveryConnections,
     abandonment: &Abandonment,
     arrivals: &mut impl Arrivals,
 ) -> Ended<P> {
-    let until = platform.now() + question.patience;
+    let until = platform.now() + question.timeout;
     let asked = tokio::select! {
         biased;
         asked = platform.timeout_at(until, asked(platform, kept, &question)) => asked,
@@ -124,8 +124,8 @@
         Ok(Err(_)) => return Ended::unanswered(Outcome::Unreachable),
         Err(_) => return Ended::unanswered(Outcome::Silent),
     };
-    notices.expect_on(&stream);
-    let (exchange, list) = (Exchange::streamed(MAX_LIST), ListReader::default());
+    connections.add(&stream);
+    let (exchange, list) = (ResponseReader::streamed(MAX_LIST), ListReader::default());
     let mut answer = Answer {
         platform,
         stream,
@@ -155,12 +155,12 @@
 ) -> io::Result<P::Stream> {
     // A call on a connection that was closed after the last answer would count as one that failed. Only that is mended
     // here: to repeat a call that discovery has seen would double its load when it has most.
-    let mut stream = match kept.filter(Stream::quiet) {
+    let mut stream = match kept.filter(Stream::is_idle) {
         Some(stream) => stream,
         None => platform.timeout(CONNECT, platform.connect(question.address)).await??,
     };
     enable_nodelay(&stream);
-    stream.write_all(&client::get(&question.target, "discovery")).await?;
+    stream.write_all(&client::encode_get(&question.target, "discovery")).await?;
     Ok(stream)
 }
 
@@ -207,7 +207,7 @@
     platform: &'a P,
     /// Shared with those who ask whether anything on it is unread; borrowed for one call at a time.
     stream: Rc<RefCell<P::Stream>>,
-    exchange: Exchange,
+    exchange: ResponseReader,
     list: ListReader,
     /// When its first byte was read.
     first_byte: Option<Instant>,
@@ -247,7 +247,7 @@
 
     /// More bytes; 0 at the end of the connection.
     async fn read(&mut self, until: Instant) -> Result<usize, End> {
-        if !self.exchange.begun() {
+        if !self.exchange.has_begun() {
             let read = self.read_first(until).await.map_err(|_| End::Silent)?;
             return read.map_err(|_| End::Unreachable);
         }
@@ -280,11 +280,11 @@
     }
 
     /// Takes what has come; tells how the answer ended, if it has.
-    fn look(&mut self, ended: bool) -> Result<Option<End>, Fault> {
+    fn look(&mut self, ended: bool) -> Result<Option<End>, ParseError> {
         let at = self.platform.now();
         if !self.is_list {
             let Some(answer) = self.exchange.step(ended)? else {
-                return Ok((ended && !self.exchange.begun()).then_some(End::Unreachable));
+                return Ok((ended && !self.exchange.has_begun()).then_some(End::Unreachable));
             };
             if answer.status != OK {
                 return Ok(Some(End::Refused));
@@ -293,16 +293,16 @@
             if !self.take(&answer.body, at) {
                 return Ok(Some(End::Broken));
             }
-            if answer.bulk.is_none() {
+            if answer.streamed.is_none() {
                 return Ok(Some(End::Whole));
             }
         }
         loop {
-            match self.exchange.piece(ended)? {
-                Piece::Bytes(bytes) if self.take(&bytes, at) => {}
-                Piece::Bytes(_) => return Ok(Some(End::Broken)),
-                Piece::End => return Ok(Some(End::Whole)),
-                Piece::More => return Ok(None),
+            match self.exchange.next_piece(ended)? {
+                BodyPiece::Bytes(bytes) if self.take(&bytes, at) => {}
+                BodyPiece::Bytes(_) => return Ok(Some(End::Broken)),
+                BodyPiece::End => return Ok(Some(End::Whole)),
+                BodyPiece::More => return Ok(None),
             }
         }
     }
@@ -317,15 +317,15 @@
     fn hand_on(&mut self, at: Instant) {
         let arrived = &self.list.records()[self.told..];
         if !arrived.is_empty() {
-            self.arrivals.arrived(arrived, self.list.index(), at);
+            self.arrivals.arrived(arrived, self.list.version(), at);
             self.told = self.list.records().len();
         }
     }
 
     /// Hands on what is known of the record that has come in part.
     fn hand_on_arriving(&mut self) {
-        if let Some(record) = self.list.arriving() {
-            self.arrivals.arrived(&[record], self.list.index(), self.platform.now());
+        if let Some(record) = self.list.partial_record() {
+            self.arrivals.arrived(&[record], self.list.version(), self.platform.now());
         }
     }
 
--- a/crates/sidecar/src/door.rs
+++ b/crates/sidecar/src/ops.rs
@@ -2,15 +2,15 @@
 //! keeps an operator out. One call a connection.
 
 use crate::counters::{Counters, count};
-use crate::directory::Directory;
+use crate::endpoint_table::EndpointTable;
 use crate::fleet::Fleet;
-use crate::frontend::{admit, bid_farewell, refuse};
+use crate::frontend::{accept_connection, close_gracefully, error_response};
 use crate::http::server::{Connection, Request, Status, Step};
 use crate::lifecycle::{Lifecycle, LifecycleState};
+use crate::ops_commands;
 use crate::request_stats::StatsReport;
-use crate::session::{Carrier, Host};
+use crate::requests::{RequestDriver, Transport};
 use crate::sockets::enable_nodelay;
-use crate::words;
 use cometcroft_platform::Platform;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -52,7 +52,7 @@
         b"/ops/drain/start" => (Call::Drain, "PUT"),
         b"/ops/drain/stop" => (Call::Undrain, "PUT"),
         b"/ops/fleet" => (Call::Fleet, "GET"),
-        _ => match path.strip_prefix(b"/ops/plan").and_then(words::method) {
+        _ => match path.strip_prefix(b"/ops/plan").and_then(ops_commands::allowed_method) {
             Some(due) => (Call::Plan, due),
             None => return Err((Status::NotFound, None)),
         },
@@ -61,9 +61,9 @@
 }
 
 /// The door, and what it tells of.
-pub struct Door<C: Carrier> {
-    host: Rc<Host<C>>,
-    directory: Rc<Directory>,
+pub struct OpsEndpoint<C: Transport> {
+    host: Rc<RequestDriver<C>>,
+    endpoints: Rc<EndpointTable>,
     lifecycle: Rc<Lifecycle<C::Platform>>,
     counters: Rc<Counters>,
     fleet: Option<Rc<Fleet<C::Platform>>>,
@@ -75,20 +75,20 @@
     left: Notify,
 }
 
-type StreamOf<C> = <<C as Carrier>::Platform as Platform>::Stream;
+type StreamOf<C> = <<C as Transport>::Platform as Platform>::Stream;
 
-impl<C: Carrier> Door<C> {
+impl<C: Transport> OpsEndpoint<C> {
     /// A door to what these tell, with so many places.
     pub fn new(
-        host: Rc<Host<C>>,
-        directory: Rc<Directory>,
+        host: Rc<RequestDriver<C>>,
+        endpoints: Rc<EndpointTable>,
         lifecycle: Rc<Lifecycle<C::Platform>>,
         counters: Rc<Counters>,
         (fleet, places): (Option<Rc<Fleet<C::Platform>>>, usize),
-    ) -> Rc<Door<C>> {
-        Rc::new(Door {
+    ) -> Rc<OpsEndpoint<C>> {
+        Rc::new(OpsEndpoint {
             host,
-            directory,
+            endpoints,
             lifecycle,
             counters,
             fleet,
@@ -111,7 +111,7 @@
                 }
                 let _ = platform.timeout(Duration::from_millis(10), self.left.notified()).await;
             }
-            let stream = admit(&platform, &listener, &self.counters, || ()).await;
+            let stream = accept_connection(&platform, &listener, &self.counters, || ()).await;
             let door = self.clone();
             self.open.set(self.open.get() + 1);
             platform.detach(async move {
@@ -134,7 +134,7 @@
         if let Some(answer) = answer? {
             count(&self.counters.ops_calls);
             platform.timeout(STALLED, stream.write_all(&answer)).await??;
-            bid_farewell(platform, &mut stream, false).await?;
+            close_gracefully(platform, &mut stream, false).await?;
         }
         Ok(())
     }
@@ -152,8 +152,8 @@
                         read = stream.read_buf(machine.buffer()) => read?,
                         () = wake.notified() => 0,
                         () = platform.sleep_until(until) => {
-                            let half = !machine.idle();
-                            return Ok(half.then(|| refuse(&mut machine, Status::RequestTimeout)));
+                            let half = !machine.is_idle();
+                            return Ok(half.then(|| error_response(&mut machine, Status::RequestTimeout)));
                         }
                     };
                     if read == 0 {
@@ -162,8 +162,8 @@
                 }
                 Step::Continue(bytes) => stream.write_all(bytes).await?,
                 Step::Request(request) => return Ok(Some(self.answer(&mut machine, &request).await)),
-                Step::Upload(..) => return Ok(Some(refuse(&mut machine, Status::TooLarge))),
-                Step::Reject(status) => return Ok(Some(refuse(&mut machine, status))),
+                Step::Upload(..) => return Ok(Some(error_response(&mut machine, Status::TooLarge))),
+                Step::Reject(status) => return Ok(Some(error_response(&mut machine, status))),
             }
         }
     }
@@ -179,7 +179,7 @@
                 (status, allow.unwrap_or_default(), String::new())
             }
         };
-        let mut message = machine.answer(status, &extra, body.len(), true);
+        let mut message = machine.response_head(status, &extra, body.len(), true);
         message.extend_from_slice(body.as_bytes());
         message
     }
@@ -196,13 +196,13 @@
                 Err(_) => (Status::Unavailable, String::new()),
             },
             Call::Fleet => match &self.fleet {
-                Some(fleet) => (Status::Ok, fleet.json() + "\n"),
+                Some(fleet) => (Status::Ok, fleet.status_json() + "\n"),
                 None => (Status::NotFound, String::new()),
             },
-            Call::Plan => match self.fleet.as_ref().and_then(|fleet| fleet.accord()) {
-                Some(accord) => {
+            Call::Plan => match self.fleet.as_ref().and_then(|fleet| fleet.plan()) {
+                Some(plan) => {
                     let path = request.path().strip_prefix(b"/ops/plan").unwrap_or_default();
-                    words::answer(accord, &self.directory, &self.lifecycle, path, request).await
+                    ops_commands::handle(plan, &self.endpoints, &self.lifecycle, path, request).await
                 }
                 None => (Status::NotFound, String::new()),
             },
@@ -223,14 +223,14 @@
             operations: self.counters.request_stats.by_class(),
             relayed: self.counters.request_stats.relayed(),
             open_requests: self.counters.request_stats.open_requests(),
-            registry_entries: self.directory.len(),
+            registry_entries: self.endpoints.len(),
             registry_age_ms: self
-                .directory
+                .endpoints
                 .confirmed_age(self.host.platform().now())
                 .map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             bar_delay_longest_us: self.counters.bar_delay_longest_us.get(),
             late_sends_barred: self.counters.dispatch_barred.get(),
-            out_of_rotation: self.host.avoided(),
+            out_of_rotation: self.host.avoided_count(),
             cfg_accepted: self.counters.reloads.get(),
             cfg_invalid: self.counters.reload_failures.get(),
         }
--- a/crates/sidecar/tests/crossings.rs
+++ b/crates/sidecar/tests/crossings.rs
@@ -4,11 +4,11 @@
 mod common;
 
 use cometcroft_platform::{Platform, Tokio};
-use cometcroft_sidecar::backend::Pool;
 use cometcroft_sidecar::counters::Counters;
-use cometcroft_sidecar::directory::Directory;
 use cometcroft_sidecar::endpoint_list::EndpointList;
-use cometcroft_sidecar::exchange::{Ends, Exchanger};
+use cometcroft_sidecar::endpoint_table::EndpointTable;
+use cometcroft_sidecar::exchange::{Deadlines, Exchanger};
+use cometcroft_sidecar::pool::ConnectionPool;
 use common::in_process::{
     BOOK_REQUEST, GatedPlatform, PLAN_REQUEST, TestConnection, accept, confirm_all_calls, endpoint_entry,
     is_served, open_watch, wait_until_reusable, with_confirmed_sidecar, with_confirmed_sidecar_config,
@@ -681,7 +681,7 @@
         let (at, to, second) =
             (listener.local_addr().expect("an address"), cometcroft::EndpointId(0), Duration::from_secs(1));
         let (platform, counters) = (GatedPlatform::default(), std::rc::Rc::new(Counters::default()));
-        let pool = Pool::new(platform.clone(), 2, [5 * second, second], counters.clone(), None);
+        let pool = ConnectionPool::new(platform.clone(), 2, [5 * second, second], counters.clone(), None);
         let get = || pool.get(to, at, Tokio.now() + 9 * second);
         platform.0.block(at);
         {
@@ -717,34 +717,34 @@
         let listener = || TcpListener::bind("127.0.0.1:0");
         let (server, discovery) = (listener().await.expect("a port"), listener().await.expect("a port"));
         let address = server.local_addr().expect("bound");
-        let directory = Directory::new(vec!["a".into()], Duration::ZERO, Tokio.unix());
+        let endpoints = EndpointTable::new(vec!["a".into()], Duration::ZERO, Tokio.unix());
         let list = |status: &str| {
             let text = format!(
                 r#"{{"index":1,"snapshot":true,"endpoints":[{{"name":"s","address":"{address}","zone":"a","status":"{status}"}}]}}"#
             );
             EndpointList::from_value(&serde_json::from_str(&text).expect("JSON")).expect("a list")
         };
-        let entries = directory.take(list("up"), None).news().expect("it is taken").entries;
+        let entries = endpoints.apply(list("up"), None).update().expect("it is taken").entries;
         let notices = Tokio.connect(discovery.local_addr().expect("bound")).await.expect("it listens");
         let notices = Rc::new(RefCell::new(notices));
-        directory.notices().expect_on(&notices);
+        endpoints.discovery_connections().add(&notices);
         let mut peer = accept(&discovery).await;
         peer.send("x").await;
         let counters = Rc::new(Counters::default());
         let second = Duration::from_secs(1);
-        let pool = Pool::new(Tokio, 2, [5 * second, second], counters.clone(), None);
-        let directory = Rc::new(directory);
-        let exchanger = Exchanger { pool, directory: directory.clone(), counters };
-        let (to, ends) = (entries[0].endpoint, Ends { ends: Tokio.now() + 2 * second, latest: None });
+        let pool = ConnectionPool::new(Tokio, 2, [5 * second, second], counters.clone(), None);
+        let endpoints = Rc::new(endpoints);
+        let exchanger = Exchanger { pool, endpoints: endpoints.clone(), counters };
+        let (to, ends) = (entries[0].endpoint, Deadlines { end: Tokio.now() + 2 * second, write_by: None });
         let attempt = tokio::task::spawn_local(async move {
-            exchanger.run(to, || PLAN_REQUEST.as_bytes().into(), None, ends, || {}).await.map(|reply| reply.answer.status)
+            exchanger.run(to, || PLAN_REQUEST.as_bytes().into(), None, ends, || {}).await.map(|reply| reply.response.status)
         });
         let mut server = accept(&server).await;
         Tokio.sleep(300 * MS).await;
         assert!(!attempt.is_finished());
         // It is read, and bars.
         drop(notices);
-        directory.bar(&list("draining").records, Some(2));
+        endpoints.exclude(&list("draining").records, Some(2));
         let ended = Tokio.timeout(second, attempt).await.expect("it is not sent, so it ends at once");
         assert!(ended.expect("no panic").is_err(), "it is barred");
         assert_eq!(server.receive().await, "", "not a byte");
