--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,6 +1,6 @@
-//! One sidecar round the decision module. Modules follow the stages of a request: [`frontend`], [`session`],
-//! [`dispatch`], [`exchange`], [`backend`]; beside it run [`discovery`], which fills the [`endpoint_table`], and [`probe`].
-//! Sockets, clock and tasks come from a [`Platform`](cometcroft_platform::Platform).
+//! A sidecar: the decision module with its network I/O. A request passes through [`frontend`], [`requests`], [`attempt`],
+//! [`exchange`] and [`pool`]; concurrently, [`discovery`] keeps the [`endpoint_table`] up to date and [`probe`] collects load
+//! reports. Sockets, clock and tasks come from a [`Platform`](cometcroft_platform::Platform).
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -57,111 +57,119 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The module's clock at the start: late enough that what started an hour ago has a time on it.
-const ORIGIN: Duration = Duration::from_secs(3600);
-/// Descriptors kept for the listener, discovery, the runtime and standard streams.
-const RESERVE: usize = 48;
+/// The module's clock at the start of the sidecar: late enough to represent the start of an endpoint an hour earlier.
+const CLOCK_ORIGIN: Duration = Duration::from_secs(3600);
+/// File descriptors reserved for the listener, discovery, the runtime and standard streams.
+const RESERVED_DESCRIPTORS: usize = 48;
+/// Minimum interval between two updates of the module's settings from the fleet.
+const MIN_FLEET_UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How many sidecars are at work reaches the module so often at most.
-const RECOUNT: Duration = Duration::from_millis(250);
-
-/// Waits until another number of sidecars is at work, or its parts have changed; for ever where there is no fleet.
-async fn recounted<P: Platform>(fleet: &Option<Rc<Fleet<P>>>) {
+/// Waits until the number of active sidecars or the shares of this one have changed; forever without a fleet.
+async fn fleet_changed<P: Platform>(fleet: &Option<Rc<Fleet<P>>>) {
     match fleet {
         Some(fleet) => fleet.changed().await,
         None => std::future::pending().await,
     }
 }
 
-/// What a sidecar is given by whoever starts it.
+/// What a sidecar needs beside its configuration.
 pub struct Resources<P: Platform> {
-    /// Where clients connect.
+    /// The listener for clients.
     pub listener: P::Listener,
-    /// Where operators call, if anywhere.
+    /// The listener of the operations endpoint, if there is one.
     pub ops: Option<P::Listener>,
-    /// Tells it of new configurations, and where discovery is.
+    /// Source of new configurations and of the address of discovery.
     pub reloader: Rc<ConfigReloader>,
-    /// Tells it when to leave.
+    /// Controls readiness, draining and shutdown.
     pub lifecycle: Rc<Lifecycle<P>>,
-    /// What it counts.
+    /// The counters of the sidecar.
     pub counters: Rc<Counters>,
-    /// Its part in a fleet, if it has one.
+    /// The membership in a fleet, if there is one.
     pub fleet: Option<FleetParts<P>>,
 }
 
-/// Runs a sidecar until it is told to leave and all is answered.
-pub async fn run<P: Platform>(platform: P, config: Config, parts: Resources<P>) -> io::Result<()> {
-    run_with(platform, config, parts, |carrier| carrier).await
+/// Runs a sidecar until the shutdown is complete: all requests are answered.
+pub async fn run<P: Platform>(platform: P, config: Config, resources: Resources<P>) -> io::Result<()> {
+    run_with(platform, config, resources, |transport| transport).await
 }
 
-/// The same with the carrier that `wrap` makes of the sidecar's own, as tests do that spoil what it does.
+/// Like [`run`], with the transport wrapped by `wrap`: tests inject defects this way.
 pub async fn run_with<P: Platform, C: HttpTransport<Platform = P>>(
     platform: P,
     mut config: Config,
-    parts: Resources<P>,
+    resources: Resources<P>,
     wrap: impl FnOnce(PooledTransport<P>) -> C,
 ) -> io::Result<()> {
-    let Resources { listener, ops, reloader, lifecycle, counters, fleet } = parts;
-    // Danger: where the listener is inherited a second process may run beside this one, and both count as one.
-    let sockets = if config.inherited_socket.is_some() { config.max_sockets / 2 } else { config.max_sockets };
-    let reserve = RESERVE.min(sockets / 3);
-    let connections = sockets.saturating_sub(reserve);
-    let (to_clients, to_backends) = (connections * 11 / 20, connections * 9 / 20);
-    let (idle, dial) = (config.network.idle_timeout, config.network.connect_timeout);
+    let Resources { listener, ops, reloader, lifecycle, counters, fleet } = resources;
+    // With an inherited listener a second process may run at the same time; the limit applies to both together.
+    let max_sockets =
+        if config.inherited_socket.is_some() { config.max_sockets / 2 } else { config.max_sockets };
+    let reserve = RESERVED_DESCRIPTORS.min(max_sockets / 3);
+    let connections = max_sockets.saturating_sub(reserve);
+    let (max_client_connections, max_endpoint_connections) = (connections * 11 / 20, connections * 9 / 20);
+    let (idle_timeout, connect_timeout) = (config.network.idle_timeout, config.network.connect_timeout);
     let (instances, seed) = (config.settings.instances, config.seed);
-    let member = fleet.map(|parts| Fleet::new(platform.clone(), parts, instances, seed.rotate_left(32)));
-    let (fleet, meets) = member.unzip();
-    let pool =
-        ConnectionPool::new(platform.clone(), to_backends, [idle, dial], counters.clone(), fleet.clone());
-    let endpoints = Rc::new(EndpointTable::new(config.network.zones.clone(), ORIGIN, platform.unix()));
+    let member =
+        fleet.map(|fleet_parts| Fleet::new(platform.clone(), fleet_parts, instances, seed.rotate_left(32)));
+    let (fleet, fleet_listener) = member.unzip();
+    let pool = ConnectionPool::new(
+        platform.clone(),
+        max_endpoint_connections,
+        [idle_timeout, connect_timeout],
+        counters.clone(),
+        fleet.clone(),
+    );
+    let endpoints = Rc::new(EndpointTable::new(config.network.zones.clone(), CLOCK_ORIGIN, platform.unix()));
     let exchanger =
         Exchanger { pool: pool.clone(), endpoints: endpoints.clone(), counters: counters.clone() };
-    let fields = Rc::new(RefCell::new(config.load_report_fields.into()));
-    let carrier = wrap(PooledTransport { exchanger, fields: fields.clone(), fleet: fleet.clone() });
-    let register = ClassRegistry::new(&config.network.classes, &config.settings.classes);
+    let load_report_fields = Rc::new(RefCell::new(config.load_report_fields.into()));
+    let transport =
+        wrap(PooledTransport { exchanger, fields: load_report_fields.clone(), fleet: fleet.clone() });
+    let class_registry = ClassRegistry::new(&config.network.classes, &config.settings.classes);
     let file_settings = fleet.as_ref().map(|_| (config.settings.clone(), config.network.clone()));
-    let host = RequestDriver::new(carrier, config.settings, seed, ORIGIN, counters.clone())
+    let driver = RequestDriver::new(transport, config.settings, seed, CLOCK_ORIGIN, counters.clone())
         .map_err(io::Error::other)?;
     counters.request_stats.set_class_names(&config.network.classes);
-    host.handle_event(Event::Start);
+    driver.handle_event(Event::Start);
     let known = EndpointList::from_value(&std::mem::take(&mut config.known_endpoints)).ok();
     let known = known.and_then(|list| endpoints.apply(list, None).update());
-    // Danger: beside a predecessor the list as last held is not good enough to serve by, and a watch would wait.
-    let index = known.as_ref().map(|known| known.version).filter(|_| config.inherited_socket.is_none());
+    // Beside a predecessor, the last known list is not reliable enough to serve with, and a watch from its version would be
+    // held until the next change; the complete list is requested instead.
+    let version = known.as_ref().map(|known| known.version).filter(|_| config.inherited_socket.is_none());
     if let Some(known) = known {
-        host.handle_event(Event::EndpointList { scope: ListScope::Restored, entries: known.entries });
+        driver.handle_event(Event::EndpointList { scope: ListScope::Restored, entries: known.entries });
     }
     lifecycle.update(|state, _| state.record_list(!endpoints.is_empty(), false));
-    // Another stream of numbers than the module's, from the same seed.
+    // Discovery draws its random numbers from a different stream than the module, derived from the same seed.
     let watch = discovery::watch(
-        host.clone(),
+        driver.clone(),
         endpoints.clone(),
         reloader.discovery_source.clone(),
         lifecycle.clone(),
-        index,
+        version,
         !seed,
         fleet.clone(),
     );
     let watch = platform.spawn(watch);
-    let (sweeper, swept) = (platform.clone(), pool.clone());
+    let (sweep_platform, swept_pool) = (platform.clone(), pool.clone());
     let sweep = platform.spawn(async move {
         loop {
-            sweeper.sleep(Duration::from_millis(250)).await;
-            swept.sweep();
+            sweep_platform.sleep(Duration::from_millis(250)).await;
+            swept_pool.sweep();
         }
     });
-    let members = fleet.as_ref().zip(meets).map(|(fleet, listener)| {
+    let fleet_tasks = fleet.as_ref().zip(fleet_listener).map(|(fleet, listener)| {
         let task = platform.spawn(fleet.clone().run(listener));
-        let (leaver, told) = (fleet.clone(), lifecycle.clone());
+        let (leaving_fleet, lifecycle) = (fleet.clone(), lifecycle.clone());
         let leave = platform.spawn(async move {
-            told.shutdown_begun().await;
-            leaver.leave();
+            lifecycle.shutdown_begun().await;
+            leaving_fleet.leave();
         });
         [task, leave]
     });
     let ops_endpoint = ops.map(|ops| {
         let ops_endpoint = OpsEndpoint::new(
-            host.clone(),
+            driver.clone(),
             endpoints.clone(),
             lifecycle.clone(),
             counters.clone(),
@@ -170,42 +178,42 @@
         platform.spawn(ops_endpoint.run(ops))
     });
     let frontend = Frontend::new(
-        host.clone(),
-        register,
+        driver.clone(),
+        class_registry,
         config.network.tenants,
         lifecycle.clone(),
         counters,
-        [to_clients, reserve / 6, config.memory_bytes / 4],
+        [max_client_connections, reserve / 6, config.memory_bytes / 4],
         fleet.clone(),
     );
-    let active = ActiveSettings {
+    let active_settings = ActiveSettings {
         frontend: frontend.clone(),
-        host: host.clone(),
+        host: driver.clone(),
         endpoints: endpoints.clone(),
         pool,
         lifecycle: lifecycle.clone(),
-        fields,
+        fields: load_report_fields,
         fleet: fleet.clone(),
         file_settings: RefCell::new(file_settings),
     };
     let plan = fleet.as_ref().and_then(|fleet| fleet.plan());
     if let Some(plan) = plan {
-        let (judging, asked) = (plan.clone(), lifecycle.clone());
+        let (adjusting_plan, queried) = (plan.clone(), lifecycle.clone());
         endpoints.set_weight_adjuster(Box::new(move |name, zone, group| {
-            judging.weight_adjustment(name, zone, group)
+            adjusting_plan.weight_adjustment(name, zone, group)
         }));
-        plan.set_readiness(move || asked.query(LifecycleState::is_ready));
+        plan.set_readiness(move || queried.query(LifecycleState::is_ready));
     }
-    let tuner = platform.clone();
-    let tune = platform.spawn(async move {
+    let update_platform = platform.clone();
+    let updates = platform.spawn(async move {
         loop {
             tokio::select! {
                 biased;
-                config = reloader.next_config() => active.apply_file(config),
-                () = recounted(&active.fleet) => {
-                    active.apply_fleet();
-                    // Danger: hundreds that join in a second would have the module take new settings for each.
-                    tuner.sleep(RECOUNT).await;
+                config = reloader.next_config() => active_settings.apply_file(config),
+                () = fleet_changed(&active_settings.fleet) => {
+                    active_settings.apply_fleet();
+                    // Without this pause the module would get new settings for each of hundreds of sidecars that join within a second.
+                    update_platform.sleep(MIN_FLEET_UPDATE_INTERVAL).await;
                 }
             }
         }
@@ -214,8 +222,8 @@
         plan.wait_for_plan().await;
     }
     frontend.run(listener).await;
-    tune.abort();
-    for task in members.into_iter().flatten() {
+    updates.abort();
+    for task in fleet_tasks.into_iter().flatten() {
         task.abort();
     }
     if let Some(ops_endpoint) = ops_endpoint {
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -1,5 +1,5 @@
-//! Starts one sidecar from its environment, reads its configuration again on SIGHUP and ends it on SIGTERM; or checks an
-//! operator's file.
+//! The `cometcroft` program: runs one sidecar, configured by its environment, reloads the configuration on SIGHUP and shuts
+//! down on SIGTERM. `cometcroft check` validates an operator file.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -25,11 +25,11 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::LocalSet;
 
-/// One sidecar. It stays in the foreground and reads its environment; README.md names the variables.
+/// Run one sidecar in the foreground, configured by environment variables (see README.md).
 #[derive(Parser)]
 #[command(name = "cometcroft", version)]
 struct Cli {
-    /// The operator's file; before LB_OPERATOR.
+    /// The operator file; takes precedence over LB_OPERATOR.
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
     #[command(subcommand)]
@@ -38,25 +38,26 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Read an operator's file and say what is wrong with it, or what it comes to.
+    /// Validate an operator file, and print its errors or a summary.
     Check {
         /// The file.
         file: PathBuf,
-        /// It is a revision's text.
+        /// The file is the text of a revision of the plan.
         #[arg(long)]
         plan: bool,
-        /// Of a revision: which retry rule binds for a request, given as class=NAME, tenant=NAME, tier=N, zone=NAME,
-        /// after=refused|never-connected|may-have-run|late, with commas.
+        /// Print which retry rule of the revision applies to a request, given as a comma-separated list of class=NAME,
+        /// tenant=NAME, tier=N, zone=NAME, after=refused|never-connected|may-have-run|late.
         #[arg(long, value_name = "REQUEST", requires = "plan")]
         explain: Option<String>,
     },
 }
 
+/// Validates an operator file, and prints a summary.
 fn check(file: &std::path::Path) -> ExitCode {
     match OperatorFile::load(file) {
         Ok(operator) => {
-            let told = operator.fleet.as_ref().map(FleetSection::summary);
-            println!("{}", told.unwrap_or_else(|| "nothing is switched on".to_owned()));
+            let summary = operator.fleet.as_ref().map(FleetSection::summary);
+            println!("{}", summary.unwrap_or_else(|| "nothing is switched on".to_owned()));
             if let (Some(budget), Some(fleet)) = (&operator.budget, &operator.fleet) {
                 println!("{}", budget.summary(fleet));
             }
@@ -72,13 +73,13 @@
     }
 }
 
-/// Reads a revision's text, and says which retry rule binds.
+/// Validates the text of a revision, and prints a summary or the retry rule that applies to a request.
 fn check_plan(file: &std::path::Path, explain: Option<&str>) -> ExitCode {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|error| format!("{name}: {error}"));
     let content =
         text.and_then(|text| RevisionContent::parse(&text, &name).map_err(|error| error.to_string()));
-    let told = content.and_then(|content| match explain {
+    let output = content.and_then(|content| match explain {
         None => Ok(format!(
             "version {}: {} server rules, {} limits of outages, {} retry rules{}",
             content.version,
@@ -87,15 +88,15 @@
             content.retry_rules.len(),
             if content.storm.is_some() { ", a storm rule" } else { "" },
         )),
-        Some(request) => wanted(request).map(|[class, tenant, tier, zone, after]| {
-            let (tier, after) = (tier.and_then(|t| t.parse().ok()).unwrap_or(0), after.and_then(happened));
+        Some(request) => parse_attributes(request).map(|[class, tenant, tier, zone, after]| {
+            let (tier, after) = (tier.and_then(|t| t.parse().ok()).unwrap_or(0), after.and_then(parse_cause));
             let class = class.unwrap_or_default();
             content.explain(&RetryAttributes { tenant, class, tier, zone: zone.unwrap_or_default(), after })
         }),
     });
-    match told {
-        Ok(told) => {
-            println!("{told}");
+    match output {
+        Ok(output) => {
+            println!("{output}");
             ExitCode::SUCCESS
         }
         Err(error) => {
@@ -105,15 +106,15 @@
     }
 }
 
-/// The fields of a request to explain: class, tenant, tier, zone, after.
-fn wanted(request: &str) -> Result<[Option<&str>; 5], String> {
+/// Parses the attributes of a request for `--explain`: class, tenant, tier, zone, after.
+fn parse_attributes(request: &str) -> Result<[Option<&str>; 5], String> {
     let mut fields = [None; 5];
     for pair in request.split(',') {
         let (name, value) = pair.split_once('=').ok_or_else(|| format!("--explain: {pair:?} has no ="))?;
         let at = ["class", "tenant", "tier", "zone", "after"].iter().position(|known| *known == name.trim());
         let at = at
             .ok_or_else(|| format!("--explain: {name:?} is not known; class, tenant, tier, zone or after"))?;
-        if at == 2 && value.parse::<u8>().is_err() || at == 4 && happened(value).is_none() {
+        if at == 2 && value.parse::<u8>().is_err() || at == 4 && parse_cause(value).is_none() {
             return Err(format!("--explain: {name}: {value:?} makes no sense"));
         }
         fields[at] = Some(value);
@@ -121,7 +122,8 @@
     Ok(fields)
 }
 
-fn happened(word: &str) -> Option<RetryCause> {
+/// Parses the cause of a retry.
+fn parse_cause(word: &str) -> Option<RetryCause> {
     match word {
         "refused" => Some(RetryCause::Rejected),
         "never-connected" => Some(RetryCause::NeverConnected),
@@ -159,7 +161,7 @@
         }
     };
     let OperatorFile { fleet, budget, plan } = operator;
-    let fleet = fleet.map(|section| joins(section, budget.as_ref(), plan.as_ref(), &config));
+    let fleet = fleet.map(|section| fleet_config(section, budget.as_ref(), plan.as_ref(), &config));
     let fleet = match fleet.transpose() {
         Ok(fleet) => fleet,
         Err(error) => {
@@ -167,20 +169,20 @@
             return ExitCode::from(2);
         }
     };
-    // Before anything else opens descriptors.
+    // The inherited descriptor is taken over before the program opens any others.
     let inherited = match config.inherited_socket.map(cometcroft_inherit::take_listener).transpose() {
         Ok(inherited) => inherited,
-        Err(refused) => {
-            eprintln!("cometcroft: configuration: LB_SOCKET_FD: {refused}");
+        Err(error) => {
+            eprintln!("cometcroft: configuration: LB_SOCKET_FD: {error}");
             return ExitCode::from(2);
         }
     };
     let counters = Rc::new(Counters::default());
-    let served = tokio::runtime::Builder::new_current_thread().enable_all().build().and_then(|runtime| {
+    let result = tokio::runtime::Builder::new_current_thread().enable_all().build().and_then(|runtime| {
         LocalSet::new().block_on(&runtime, serve(config, inherited, counters.clone(), fleet))
     });
     eprintln!("cometcroft: counters {}", counters.json());
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("cometcroft: {error}");
@@ -189,73 +191,78 @@
     }
 }
 
-/// What a member of a fleet is told: as a member, of its budgets and its plan if there are any, and the file's section.
-type Joins = (cometcroft_membership::Config, Option<BudgetParts>, Option<PlanParts>, FleetSection);
+/// The configuration of a fleet member: membership, budgets and plan if there are any, and the `[fleet]` section.
+type FleetConfig = (cometcroft_membership::Config, Option<BudgetParts>, Option<PlanParts>, FleetSection);
 
-fn joins(
+/// Derives the configuration of a fleet member from the sections of the operator file.
+fn fleet_config(
     section: FleetSection,
     budget: Option<&BudgetSection>,
     plan: Option<&PlanSection>,
     config: &Config,
-) -> Result<Joins, String> {
+) -> Result<FleetConfig, String> {
     let member = section.membership_config(config)?;
     let budget = budget.map(|budget| budget.driver_config(&section, config)).transpose()?;
     let budget = budget.map(|(config, uses)| BudgetParts {
         config,
         uses,
-        // Danger: two starts with one number would be one holder; neither the clock nor the file makes it.
+        // Random, from neither the clock nor the file: two starts with the same id would count as one holder.
         id: RandomState::new().hash_one(std::process::id()),
         listener: Box::new(|event| match event {
-            Event::Elected { term } => tracing::info!(term, "divides the budgets"),
-            Event::SteppedDown => tracing::info!("divides the budgets no more"),
-            Event::LeaseExpired => tracing::warn!("parts of the budgets have lapsed"),
-            Event::LeaseObtained => tracing::info!("has parts of the budgets"),
+            Event::Elected { term } => tracing::info!(term, "elected as budget allocator"),
+            Event::SteppedDown => tracing::info!("no longer budget allocator"),
+            Event::LeaseExpired => tracing::warn!("budget leases have expired"),
+            Event::LeaseObtained => tracing::info!("budget leases obtained"),
         }),
     });
-    let divides = budget.as_ref().is_some_and(|budget| budget.uses.contains(&BudgetUse::Retries));
+    let divides_retries = budget.as_ref().is_some_and(|budget| budget.uses.contains(&BudgetUse::Retries));
     let plan = plan.map(|plan| plan.driver_config(&section)).map(|(config, wait)| PlanParts {
         config,
         wait,
-        divides,
+        divides: divides_retries,
         listener: Box::new(|event| match event {
             PlanEvent::InForce { revision, index } => tracing::info!(revision, index, "revision in force"),
-            PlanEvent::NoPlan => tracing::warn!("no plan was heard of in time: serves by its file"),
-            PlanEvent::RetryStorm(on) => tracing::warn!(on, "storm of retries"),
+            PlanEvent::NoPlan => {
+                tracing::warn!("no plan received in time; serving with the settings of the file")
+            }
+            PlanEvent::RetryStorm(on) => tracing::warn!(on, "retry storm"),
         }),
     });
     Ok((member, budget, plan, section))
 }
 
+/// Reads an environment variable.
 fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
+/// Opens the sockets, installs the signal handlers and runs the sidecar until it has shut down.
 async fn serve(
     config: Config,
     inherited: Option<std::net::TcpListener>,
     counters: Rc<Counters>,
-    fleet: Option<Joins>,
+    fleet: Option<FleetConfig>,
 ) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let reloader = ConfigReloader::new(&config);
-    let (retuned, counted) = (reloader.clone(), counters.clone());
+    let (hangup_reloader, hangup_counters) = (reloader.clone(), counters.clone());
     Tokio.detach(async move {
         while hangup.recv().await.is_some() {
-            if let Err(error) = retuned.reload(Config::reload(variable), &counted) {
+            if let Err(error) = hangup_reloader.reload(Config::reload(variable), &hangup_counters) {
                 eprintln!("cometcroft: new configuration: {error}");
             }
         }
     });
     let lifecycle = Rc::new(Lifecycle::new(Tokio, config.max_deadline(), inherited.is_some()));
-    let begin = lifecycle.clone();
+    let terminated = lifecycle.clone();
     Tokio.detach(async move {
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        begin.begin_shutdown();
+        terminated.begin_shutdown();
     });
     let listener = match inherited {
         Some(inherited) => TcpListener::from_std(inherited)?,
@@ -266,25 +273,26 @@
         None => None,
     };
     let fleet = match fleet {
-        Some(fleet) => Some(join(fleet).await?),
+        Some(fleet) => Some(open_fleet(fleet).await?),
         None => None,
     };
     cometcroft_sidecar::run(Tokio, config, Resources { listener, ops, reloader, lifecycle, counters, fleet })
         .await
 }
 
-/// Opens a member's sockets, and has its changes told in the log.
-async fn join((member, budget, plan, section): Joins) -> std::io::Result<FleetParts<Tokio>> {
+/// Opens the sockets of a fleet member, and logs changes of the membership.
+async fn open_fleet((member, budget, plan, section): FleetConfig) -> std::io::Result<FleetParts<Tokio>> {
     let at = section.listen_address();
-    let named = |error: std::io::Error| std::io::Error::new(error.kind(), format!("fleet: {at}: {error}"));
-    let socket = UdpSocket::bind(at).await.map_err(named)?;
-    let listener = TcpListener::bind(socket.local_addr()?).await.map_err(named)?;
-    let watcher = Box::new(|change: &Change| {
+    let with_address =
+        |error: std::io::Error| std::io::Error::new(error.kind(), format!("fleet: {at}: {error}"));
+    let socket = UdpSocket::bind(at).await.map_err(with_address)?;
+    let listener = TcpListener::bind(socket.local_addr()?).await.map_err(with_address)?;
+    let on_change = Box::new(|change: &Change| {
         let (from, to) = (change.from.map_or("unknown", |state| state.as_str()), change.to.as_str());
         tracing::info!(
             member = %change.name, generation = change.generation, from, to, cause = change.cause, by = %change.reporter,
             "member changed"
         );
     });
-    Ok(FleetParts { config: member, socket, listener, from: at.ip(), watcher, budget, plan })
+    Ok(FleetParts { config: member, socket, listener, from: at.ip(), watcher: on_change, budget, plan })
 }
