--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -212,7 +212,8 @@
                 config = reloader.next_config() => active_settings.apply_file(config),
                 () = fleet_changed(&active_settings.fleet) => {
                     active_settings.apply_fleet();
-                    // Without this pause the module would get new settings for each of hundreds of sidecars that join within a second.
+                    // Without this pause the module would get new settings for each of hundreds of sidecars that join
+                    // within a second.
                     update_platform.sleep(MIN_FLEET_UPDATE_INTERVAL).await;
                 }
             }
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -115,7 +115,7 @@
         let at = at
             .ok_or_else(|| format!("--explain: {name:?} is not known; class, tenant, tier, zone or after"))?;
         if at == 2 && value.parse::<u8>().is_err() || at == 4 && parse_cause(value).is_none() {
-            return Err(format!("--explain: {name}: {value:?} makes no sense"));
+            return Err(format!("--explain: {name}: {value:?} is invalid"));
         }
         fields[at] = Some(value);
     }
--- a/crates/sidecar/tests/flags.rs
+++ b/crates/sidecar/tests/flags.rs
@@ -15,7 +15,7 @@
     while child.try_wait().expect("query the process").is_none() {
         if Instant::now() > until {
             let _ = child.kill();
-            panic!("{args:?} does not end");
+            panic!("{args:?}: still running after 60 s");
         }
         std::thread::sleep(Duration::from_millis(5));
     }
--- a/crates/sidecar/tests/processes.rs
+++ b/crates/sidecar/tests/processes.rs
@@ -166,9 +166,9 @@
 }
 
 /// Thirty sidecars without an endpoint list start at once. Discovery handles one call at a time, 60 ms each, and rejects calls
-/// that waited for more than 1 s.
+/// that waited for more than 1 s. 27 of the sidecars must be ready within 10 s.
 #[test]
-fn thirty_simultaneous_restarts_are_ready_in_time_with_overloaded_discovery() {
+fn nine_in_ten_of_thirty_simultaneous_restarts_are_ready_in_time_with_overloaded_discovery() {
     let (endpoint, _) = common::program::start_endpoint(Duration::ZERO, "", false);
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
     let discovery = listener.local_addr().expect("local address");
--- a/crates/sidecar/tests/shutdown_soak.rs
+++ b/crates/sidecar/tests/shutdown_soak.rs
@@ -116,7 +116,7 @@
     Answered,
     /// The connection was closed in order, without a byte of a response.
     Closed,
-    /// The connection was reset, or closed within a response.
+    /// The connection was lost, or ended within a response.
     Broken,
 }
 
