--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,6 +1,6 @@
 //! A sidecar: the decision module with its network I/O. A request passes through [`frontend`], [`requests`], [`attempt`],
 //! [`exchange`] and [`pool`]; concurrently, [`discovery`] keeps the [`endpoint_table`] up to date and [`probe`] collects load
-//! reports. Sockets, clock and tasks come from a [`Platform`](cometcroft_platform::Platform).
+//! reports. Sockets, clock and tasks come from a [`Platform`].
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/sidecar/src/lifecycle.rs
+++ b/crates/sidecar/src/lifecycle.rs
@@ -122,7 +122,8 @@
     }
 
     /// When the sidecar stops accepting connections. Without a successor it keeps accepting for a while, as clients would
-    /// otherwise find no listener. It stops at once where a successor accepts from the same socket and needs no help.
+    /// otherwise find no listener. Where a successor accepts from the same socket, there is nothing to gain, and it stops at
+    /// once.
     pub fn accepts_until(&self) -> Option<Instant> {
         self.shutdown_started.map(|at| if self.shares_listener { at } else { at + self.linger() })
     }
