--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -188,7 +188,7 @@
     );
     let active_settings = ActiveSettings {
         frontend: frontend.clone(),
-        host: driver.clone(),
+        driver: driver.clone(),
         endpoints: endpoints.clone(),
         pool,
         lifecycle: lifecycle.clone(),
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -215,11 +215,11 @@
             Event::LeaseObtained => tracing::info!("budget leases obtained"),
         }),
     });
-    let divides_retries = budget.as_ref().is_some_and(|budget| budget.uses.contains(&BudgetUse::Retries));
+    let retries_limited = budget.as_ref().is_some_and(|budget| budget.uses.contains(&BudgetUse::Retries));
     let plan = plan.map(|plan| plan.driver_config(&section)).map(|(config, wait)| PlanParts {
         config,
         wait,
-        divides: divides_retries,
+        retries_limited,
         listener: Box::new(|event| match event {
             PlanEvent::InForce { revision, index } => tracing::info!(revision, index, "revision in force"),
             PlanEvent::NoPlan => {
