--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Dispatches and probes over HTTP: what the session host asks for, and what came of it.
+//! Sends attempts and probes over HTTP for the request driver, and reports their outcomes.
 
 use crate::counters::count;
 use crate::exchange::{
@@ -19,29 +19,29 @@
 use std::time::{Duration, Instant};
 use tracing::Instrument;
 
-/// What a dispatch carries.
+/// A request that is being forwarded, shared by all its attempts.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// The request as it came.
+    /// The request as received.
     pub request: Request,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its body, if that is not part of the request.
+    /// The body, if it is too large to be part of the request.
     pub upload: Option<Upload>,
-    /// Attempts that were begun.
+    /// Number of attempts started.
     pub attempts_started: Cell<u32>,
-    /// How the last of them ended, if it did not succeed.
+    /// Cause of the last failed attempt.
     pub last_failure: Cell<Option<RetryCause>>,
 }
 
-/// Brings dispatches and probes to backend servers over HTTP.
+/// Sends attempts and probes over pooled HTTP connections.
 #[derive(Clone)]
 pub struct PooledTransport<P: Platform> {
-    /// Connections, and where they lead.
+    /// Sends single requests.
     pub exchanger: Exchanger<P>,
-    /// The values that load reports hold.
+    /// The fields that load reports contain.
     pub fields: Rc<RefCell<Rc<[Field]>>>,
-    /// What the fleet allows, if there is one.
+    /// The fleet, which limits attempts and probes, if this sidecar is part of one.
     pub fleet: Option<Rc<Fleet<P>>>,
 }
 
@@ -69,11 +69,11 @@
                 number = payload.attempts_started.get() + 1
             );
             let end = transport.platform().now() + timeout;
-            let ended = transport.attempt(to, &payload, end, write_by).instrument(span.clone()).await;
+            let result = transport.attempt(to, &payload, end, write_by).instrument(span.clone()).await;
             let endpoint = transport.exchanger.directory.address(to).map(tracing::field::display);
-            span.in_scope(|| tracing::debug!(endpoint, outcome = ?ended.outcome, "attempt ended"));
-            payload.last_failure.set(retry_cause(ended.outcome).or(payload.last_failure.get()));
-            ended
+            span.in_scope(|| tracing::debug!(endpoint, outcome = ?result.outcome, "attempt ended"));
+            payload.last_failure.set(retry_cause(result.outcome).or(payload.last_failure.get()));
+            result
         })
     }
 
@@ -94,14 +94,14 @@
     }
 }
 
-/// What policies on retries call an outcome.
+/// The cause that retry policies know for an outcome.
 fn retry_cause(outcome: Outcome) -> Option<RetryCause> {
     match outcome {
         Outcome::Rejected => Some(RetryCause::Rejected),
         Outcome::ConnectFailed => Some(RetryCause::NeverConnected),
         Outcome::Error | Outcome::Reset => Some(RetryCause::MayHaveRun),
         Outcome::Timeout | Outcome::Cancelled => Some(RetryCause::TimedOut),
-        // Never sent: what came before it counts on.
+        // For an attempt that was never sent, the cause of the one before still applies.
         Outcome::Ok | Outcome::NotSent => None,
     }
 }
@@ -116,7 +116,8 @@
     ) -> AttemptResult<EndpointResponse> {
         let stage = Cell::new(Stage::Unwritten);
         let platform = self.platform();
-        // Danger: a body of which a part is gone would go out with a hole; nothing is sent, and said so.
+        // Part of the body is discarded already, and the request would be sent incomplete; so the attempt is
+        // reported as not sent.
         if payload.upload.as_ref().is_some_and(Upload::has_discarded) {
             return AttemptResult { outcome: Outcome::NotSent, report: None, response: None };
         }
@@ -140,25 +141,31 @@
         };
         let exchange =
             self.exchanger.run(to, message, payload.upload.as_ref(), Deadlines { end, write_by }, written);
-        let answered = platform.timeout_at(end, exchange).await;
-        let unanswered = |lack| {
-            if lack == NoResponse::InvalidResponse {
+        let result = platform.timeout_at(end, exchange).await;
+        let no_response = |reason| {
+            if reason == NoResponse::InvalidResponse {
                 count(&self.exchanger.counters.answers_spoilt);
             }
             AttemptResult {
-                outcome: outcome_without_response(stage.get(), lack),
+                outcome: outcome_without_response(stage.get(), reason),
                 report: None,
                 response: None,
             }
         };
-        match answered {
-            Ok(Ok(reply)) => {
-                let report =
-                    reply.response.load_report().and_then(|text| probe::report(text, &self.fields.borrow()));
-                AttemptResult { outcome: response_outcome(&reply.response), report, response: Some(reply) }
+        match result {
+            Ok(Ok(response)) => {
+                let report = response
+                    .response
+                    .load_report()
+                    .and_then(|text| probe::report(text, &self.fields.borrow()));
+                AttemptResult {
+                    outcome: response_outcome(&response.response),
+                    report,
+                    response: Some(response),
+                }
             }
-            Ok(Err(error)) => unanswered((&error).into()),
-            Err(_) => unanswered(NoResponse::TimedOut),
+            Ok(Err(error)) => no_response((&error).into()),
+            Err(_) => no_response(NoResponse::TimedOut),
         }
     }
 }
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -1,5 +1,5 @@
-//! One request to a backend server and its answer: a connection, the request written whole, the answer read whole,
-//! and what its end says about whether the request has run.
+//! One request to an endpoint and its response: takes a connection, writes the whole request, reads the whole
+//! response, and tells from how it ended whether the request can have run.
 
 use crate::counters::{Counters, count, invariant};
 use crate::directory::Directory;
@@ -24,25 +24,25 @@
 use thiserror::Error;
 use tokio::io::{AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// Its last byte has not been written: the backend server can't have begun it.
+    /// The last byte has not been written: the endpoint can't have started the request.
     Unwritten,
-    /// It has been written whole: it may have run.
+    /// The request has been written completely: it may have run.
     Written,
 }
 
-/// Why an attempt got no answer.
+/// Why an attempt got no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoResponse {
-    /// Our time for it ran out.
+    /// The attempt's time ran out.
     TimedOut,
-    /// Its connection broke.
+    /// The connection was refused or lost.
     ConnectionLost,
-    /// What came can't be the answer to it.
+    /// The bytes received are no valid response.
     InvalidResponse,
-    /// It was not sent for a reason of ours: it says nothing of the backend server.
+    /// The sidecar itself did not send the request, so this says nothing about the endpoint.
     NotSent,
 }
 
@@ -56,42 +56,42 @@
     }
 }
 
-/// What an attempt that got no answer proves.
-pub fn outcome_without_response(stage: Stage, lack: NoResponse) -> Outcome {
-    match (stage, lack) {
+/// The outcome of an attempt without a response.
+pub fn outcome_without_response(stage: Stage, reason: NoResponse) -> Outcome {
+    match (stage, reason) {
         (_, NoResponse::NotSent) => Outcome::NotSent,
         (Stage::Unwritten, _) => Outcome::ConnectFailed,
         (Stage::Written, NoResponse::TimedOut) => Outcome::Timeout,
         (Stage::Written, NoResponse::ConnectionLost) => Outcome::Reset,
-        // Danger: taken for a reset it would tell of dead connections and of requests that kill whoever runs
-        // them; but the machine is alive and has answered, if badly.
+        // Not a reset: resets count as signs of dead connections and of requests that crash their endpoint, but
+        // this endpoint is alive and did respond, if incorrectly.
         (Stage::Written, NoResponse::InvalidResponse) => Outcome::Error,
     }
 }
 
-/// What an answer means.
-pub fn response_outcome(answer: &Response) -> Outcome {
-    match answer.status {
+/// The outcome that a response stands for.
+pub fn response_outcome(response: &Response) -> Outcome {
+    match response.status {
         200 => Outcome::Ok,
-        _ if answer.rejected() => Outcome::Rejected,
+        _ if response.rejected() => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
 
-/// Brings single requests to backend servers.
+/// Sends single requests to endpoints.
 #[derive(Clone)]
 pub struct Exchanger<P: Platform> {
-    /// Connections.
+    /// The connection pool.
     pub pool: Rc<ConnectionPool<P>>,
-    /// Where the backend servers are, and which of them drain.
+    /// Addresses of the endpoints, and which of them are draining.
     pub directory: Rc<Directory>,
-    /// What is counted.
+    /// The sidecar's counters.
     pub counters: Rc<Counters>,
 }
 
 impl<P: Platform> Exchanger<P> {
-    /// One request and its answer; `written` once its last byte is. Whatever ends it early drops the connection and so
-    /// closes it.
+    /// Sends one request and reads the response; calls `written` once the last byte of the request is written.
+    /// Whatever ends it early drops the connection and so closes it.
     pub async fn run(
         &self,
         to: EndpointId,
@@ -102,90 +102,104 @@
     ) -> io::Result<EndpointResponse> {
         let address = self.directory.address(to).ok_or(io::ErrorKind::AddrNotAvailable)?;
         let platform = self.pool.platform();
-        let bounded = write_by.map_or(end, |write_by| write_by.min(end));
-        let lease = self.pool.get(to, address, bounded).await;
-        // Danger: a connection may come up, or a body be written, when a repeat is not dropped any more.
+        let connect_by = write_by.map_or(end, |write_by| write_by.min(end));
+        let connection = self.pool.get(to, address, connect_by).await;
+        // From this time on, endpoints may not recognise a retry as a duplicate any more, and making the
+        // connection may have taken that long.
         if write_by.is_some_and(|write_by| platform.now() >= write_by) {
-            return Err(self.outlived());
+            return Err(self.window_passed());
         }
-        let mut lease = lease?;
+        let mut connection = connection?;
         let whole = async {
-            // What the request says of the time that is left is worked out behind this wait.
-            self.notices_read(address, bounded).await?;
+            // The message is built after this wait, since it states the time that is left.
+            self.wait_for_notices(address, connect_by).await?;
             let message = message();
-            let (written, began) = self.write_first(to, &mut lease, &message).await?;
-            lease.stream.write_all(&message[written..]).await?;
+            let (written, started) = self.write_first(to, &mut connection, &message).await?;
+            connection.stream.write_all(&message[written..]).await?;
             if let Some(upload) = upload {
                 let coding =
                     if upload.declared_length().is_some() { BodyCoding::Plain } else { BodyCoding::Chunked };
-                let mut at = 0;
-                while let Some(piece) = upload.piece(at).await {
-                    lease.stream.write_all(&coding.frame(&piece)).await?;
-                    at += 1;
+                let mut index = 0;
+                while let Some(piece) = upload.piece(index).await {
+                    connection.stream.write_all(&coding.frame(&piece)).await?;
+                    index += 1;
                 }
-                lease.stream.write_all(coding.end()).await?;
+                connection.stream.write_all(coding.end()).await?;
             }
-            Ok::<Instant, io::Error>(began)
+            Ok::<Instant, io::Error>(started)
         };
-        let began = match write_by {
+        let started = match write_by {
             None => whole.await?,
-            Some(write_by) => platform.timeout_at(write_by, whole).await.map_err(|_| self.outlived())??,
+            Some(write_by) => {
+                platform.timeout_at(write_by, whole).await.map_err(|_| self.window_passed())??
+            }
         };
         written();
-        let mut exchange = ResponseReader::delimited(MAX_STREAMED_BODY);
-        let answer = read_answer(self.pool.platform(), &mut lease.stream, &mut exchange, STALLED).await?;
-        self.directory.answered(to, began, answer.rejected(), platform.now());
-        let bulk = answer.streamed.is_some();
-        if !bulk && exchange.reusable() {
-            self.pool.put(to, lease);
-            return Ok(EndpointResponse { response: answer, remaining_body: RemainingBody::default() });
+        let mut reader = ResponseReader::delimited(MAX_STREAMED_BODY);
+        let response =
+            read_response(self.pool.platform(), &mut connection.stream, &mut reader, READ_STALL_TIMEOUT)
+                .await?;
+        self.directory.answered(to, started, response.rejected(), platform.now());
+        let is_streamed = response.streamed.is_some();
+        if !is_streamed && reader.reusable() {
+            self.pool.put(to, connection);
+            return Ok(EndpointResponse { response, remaining_body: RemainingBody::default() });
         }
-        // Only an answer that is passed on is read to its end.
-        let rest = RemainingBody::default();
-        if bulk && answer.status == 200 {
+        // Only a response that is forwarded is read to its end.
+        let remaining_body = RemainingBody::default();
+        if is_streamed && response.status == 200 {
             let pool = self.pool.clone();
-            rest.0.replace(Some(Box::new(StreamingBody { pool, to, lease: Some(lease), exchange })));
+            remaining_body.0.replace(Some(Box::new(StreamingBody {
+                pool,
+                to,
+                connection: Some(connection),
+                reader,
+            })));
         }
-        Ok(EndpointResponse { response: answer, remaining_body: rest })
+        Ok(EndpointResponse { response, remaining_body })
     }
 
-    /// Waits until what has come of discovery is read: this process may have been held up, and find a notice and the
-    /// connection for a request at once. Danger: how long that takes grows with the list.
-    async fn notices_read(&self, endpoint: SocketAddr, until: Instant) -> io::Result<()> {
+    /// Waits until everything that discovery has sent is read: after a pause of this process, a notification
+    /// and the connection for a request can become ready at the same time. Reading takes longer the longer the
+    /// list is.
+    async fn wait_for_notices(&self, endpoint: SocketAddr, until: Instant) -> io::Result<()> {
         while self.directory.notices().any_unread() {
             if self.pool.platform().now() >= until {
-                return Err(self.barred(endpoint, Barred::NoticesUnread));
+                return Err(self.not_started(endpoint, NotStarted::NoticesUnread));
             }
-            self.pool.platform().sleep(BETWEEN_NOTICE_LOOKS).await;
+            self.pool.platform().sleep(NOTICE_POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Writes the first bytes of a request, unless the backend server is barred by now or may be: the notice may have come
-    /// since the module decided, and a write may have to wait. Tells how many, and when they began at the earliest. This is
-    /// the one place where anything begins at a backend server.
+    /// Writes the first bytes of a request, unless the endpoint is not allowed by now: a notification may have
+    /// arrived since the module decided, and a write may have to wait. Returns the number of bytes and the
+    /// earliest time at which they can have been sent. Every attempt starts here and nowhere else.
     async fn write_first(
         &self,
         to: EndpointId,
-        lease: &mut PooledConnection<P>,
+        connection: &mut PooledConnection<P>,
         message: &[u8],
     ) -> io::Result<(usize, Instant)> {
-        let address = lease.address();
+        let address = connection.address();
         poll_fn(|context| {
             let now = self.pool.platform().now();
-            // Danger: what is not confirmed may have changed, and counts as told after a while all the same.
+            // A list that is not confirmed may have changed, and after a while the change counts as known to
+            // this sidecar all the same.
             let evidence = match self.directory.evidence(to, now) {
                 Ok(evidence) => evidence,
-                Err(lack) => return Poll::Ready(Err(self.barred(address, Barred::NoEvidence(lack)))),
+                Err(lack) => {
+                    return Poll::Ready(Err(self.not_started(address, NotStarted::NoEvidence(lack))));
+                }
             };
             if !self.directory.open_at(to, address) {
-                return Poll::Ready(Err(self.barred(address, Barred::NotListed)));
+                return Poll::Ready(Err(self.not_started(address, NotStarted::NotListed)));
             }
-            let written = Pin::new(&mut lease.stream).poll_write(context, message);
+            let written = Pin::new(&mut connection.stream).poll_write(context, message);
             if let Poll::Ready(Ok(_)) = written {
                 let open = self.directory.open(to);
-                invariant(&self.counters, open, "nothing begins at a backend server that is barred");
-                let (version, age) = self.list_held();
+                invariant(&self.counters, open, "no attempt starts at an endpoint that is barred");
+                let (version, age) = self.held_list();
                 tracing::debug!(endpoint = %address, version, ?age, ?evidence, "attempt begins");
             }
             written.map_ok(|written| (written, now))
@@ -193,77 +207,78 @@
         .await
     }
 
-    /// Counts and logs an attempt that is not begun.
-    fn barred(&self, endpoint: SocketAddr, reason: Barred) -> io::Error {
+    /// Counts and logs an attempt that is not started.
+    fn not_started(&self, endpoint: SocketAddr, reason: NotStarted) -> io::Error {
         count(match reason {
-            Barred::NoEvidence(_) => &self.counters.dispatch_unconfirmed,
-            Barred::NotListed => &self.counters.dispatch_barred,
-            Barred::NoticesUnread => &self.counters.dispatch_unread,
+            NotStarted::NoEvidence(_) => &self.counters.dispatch_unconfirmed,
+            NotStarted::NotListed => &self.counters.dispatch_barred,
+            NotStarted::NoticesUnread => &self.counters.dispatch_unread,
         });
-        let (version, age) = self.list_held();
+        let (version, age) = self.held_list();
         tracing::debug!(%endpoint, version, ?age, %reason, "attempt is barred");
         io::ErrorKind::ConnectionAborted.into()
     }
 
-    /// The version of the list that is held, and the time since discovery confirmed it.
-    fn list_held(&self) -> (Option<i64>, Option<Duration>) {
+    /// Version of the held list, and the time since discovery confirmed it.
+    fn held_list(&self) -> (Option<i64>, Option<Duration>) {
         (self.directory.version(), self.directory.confirmed_age(self.pool.platform().now()))
     }
 
-    /// The window for repeats has ended before this one was written whole.
-    fn outlived(&self) -> io::Error {
+    /// Counts a retry that was not written completely before its deduplication window ended.
+    fn window_passed(&self) -> io::Error {
         count(&self.counters.dispatch_outlived);
         io::ErrorKind::QuotaExceeded.into()
     }
 }
 
-/// Why an attempt is not begun.
+/// Why an attempt is not started.
 #[derive(Debug, Clone, Copy, Error)]
-enum Barred {
-    /// Nothing shows that its endpoint may be sent to.
-    #[error("no evidence that the endpoint may be sent to: {0}")]
+enum NotStarted {
+    /// Nothing shows that requests may be sent to the endpoint.
+    #[error("nothing shows that requests may be sent to the endpoint: {0}")]
     NoEvidence(freshness::Lack),
-    /// Its endpoint drains, is gone or has moved.
-    #[error("the endpoint drains, is gone or has moved")]
+    /// The endpoint is draining, was removed or has moved.
+    #[error("the endpoint is draining, was removed or has moved")]
     NotListed,
-    /// Its time ended while a notice of discovery lay unread.
-    #[error("a notice of discovery is unread")]
+    /// The attempt's time ran out while a notification of discovery was unread.
+    #[error("a notification of discovery is unread")]
     NoticesUnread,
 }
 
-/// When an attempt ends, and by when it is written whole or not at all.
+/// Time limits of an attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct Deadlines {
-    /// It is given up then.
+    /// The attempt is cancelled at this time.
     pub end: Instant,
-    /// From then on its repeat may not be dropped.
+    /// The request is written completely by this time or not at all: afterwards endpoints may have dropped its
+    /// idempotency key.
     pub write_by: Option<Instant>,
 }
 
-/// An answer, and where the rest of it comes from if it is not held whole.
+/// A response, with the source of the rest of its body if that is not held completely.
 #[derive(Debug, Clone)]
 pub struct EndpointResponse {
-    /// The answer, or its head and beginning.
+    /// The complete response, or its head and the beginning of its body.
     pub response: Response,
-    /// The rest.
+    /// The rest of the body.
     pub remaining_body: RemainingBody,
 }
 
-/// A later piece, or none at the end.
+/// The next piece of a body; `None` at the end.
 type Next<'a> = Pin<Box<dyn Future<Output = io::Result<Option<Bytes>>> + 'a>>;
 
-/// A body that comes in pieces.
+/// A body that arrives in pieces.
 pub trait BodyStream {
-    /// The next piece.
+    /// Reads the next piece.
     fn next(&mut self) -> Next<'_>;
 }
 
-/// The rest of an answer, for whoever takes it first.
+/// The rest of a response's body, which can be taken once.
 #[derive(Clone, Default)]
 pub struct RemainingBody(Rc<RefCell<Option<Box<dyn BodyStream>>>>);
 
 impl RemainingBody {
-    /// The pieces.
+    /// Takes the stream of pieces.
     pub fn take(&self) -> Option<Box<dyn BodyStream>> {
         self.0.borrow_mut().take()
     }
@@ -271,78 +286,79 @@
 
 impl fmt::Debug for RemainingBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(if self.0.borrow().is_some() { "Rest(..)" } else { "Rest" })
+        f.write_str(if self.0.borrow().is_some() { "RemainingBody(..)" } else { "RemainingBody" })
     }
 }
 
-/// A large answer that is still coming.
+/// A large response that is still being received.
 struct StreamingBody<P: Platform> {
     pool: Rc<ConnectionPool<P>>,
     to: EndpointId,
-    lease: Option<PooledConnection<P>>,
-    exchange: ResponseReader,
+    connection: Option<PooledConnection<P>>,
+    reader: ResponseReader,
 }
 
 impl<P: Platform> BodyStream for StreamingBody<P> {
     fn next(&mut self) -> Next<'_> {
         Box::pin(async {
-            let mut ended = false;
+            let mut at_end = false;
             loop {
-                match self.exchange.next_piece(ended).map_err(bad)? {
+                match self.reader.next_piece(at_end).map_err(invalid_data)? {
                     BodyPiece::Bytes(piece) => return Ok(Some(piece)),
                     BodyPiece::End => {
-                        if let Some(lease) = self.lease.take().filter(|_| self.exchange.reusable()) {
-                            self.pool.put(self.to, lease);
+                        if let Some(connection) = self.connection.take().filter(|_| self.reader.reusable()) {
+                            self.pool.put(self.to, connection);
                         }
                         return Ok(None);
                     }
-                    BodyPiece::More if ended => return Err(io::ErrorKind::UnexpectedEof.into()),
+                    BodyPiece::More if at_end => return Err(io::ErrorKind::UnexpectedEof.into()),
                     BodyPiece::More => {}
                 }
-                let Some(lease) = &mut self.lease else { return Ok(None) };
-                let read = lease.stream.read_buf(self.exchange.buffer());
-                ended = self.pool.platform().timeout(SILENT, read).await?? == 0;
+                let Some(connection) = &mut self.connection else { return Ok(None) };
+                let read = connection.stream.read_buf(self.reader.buffer());
+                at_end = self.pool.platform().timeout(STREAM_IDLE_TIMEOUT, read).await?? == 0;
             }
         })
     }
 }
 
-/// A large answer that has begun is given up when nothing of it has come for so long. Danger: what its sender still gives
-/// must not be cut off, and who is slow may pause.
-const SILENT: Duration = Duration::from_secs(10);
+/// A large response is cancelled when no byte of it arrives for this long. A slow sender may pause, and a
+/// response that still makes progress must not be cut off.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn bad(fault: ParseError) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, format!("{fault:?}"))
+fn invalid_data(error: ParseError) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, format!("{error:?}"))
 }
 
-/// The time between two looks whether notices of discovery are read.
-const BETWEEN_NOTICE_LOOKS: Duration = Duration::from_millis(1);
+/// Interval at which it is checked whether the notifications of discovery are read.
+const NOTICE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// An answer that has begun goes on within this time; whoever answers has all of it.
-const STALLED: Duration = Duration::from_millis(500);
+/// Longest pause within a response: an endpoint that starts to respond has the complete response.
+const READ_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Reads one whole answer; an end before that is an error, and so is a pause of `stalled` once it has begun.
-pub(crate) async fn read_answer<P: Platform>(
+/// Reads one complete response. An end of the connection before that is an error, and so is a pause of
+/// `stall_timeout` once the response has begun.
+pub(crate) async fn read_response<P: Platform>(
     platform: &P,
     stream: &mut P::Stream,
-    exchange: &mut ResponseReader,
-    stalled: Duration,
+    reader: &mut ResponseReader,
+    stall_timeout: Duration,
 ) -> io::Result<Response> {
     loop {
-        // Danger: a length that promises more than comes leaves the connection open and silent, and the session
-        // would wait out its whole time with none left to try again.
-        let begun = exchange.has_begun();
-        let read = stream.read_buf(exchange.buffer());
-        let read = if begun {
-            platform.timeout(stalled, read).await.map_err(|_| bad(ParseError::Malformed))?
+        // A Content-Length larger than the body leaves the connection open and silent, and the request would
+        // wait until its deadline with no time left for a retry.
+        let has_begun = reader.has_begun();
+        let read = stream.read_buf(reader.buffer());
+        let read = if has_begun {
+            platform.timeout(stall_timeout, read).await.map_err(|_| invalid_data(ParseError::Malformed))?
         } else {
             read.await
         };
-        let ended = read? == 0;
-        if let Some(answer) = exchange.step(ended).map_err(bad)? {
-            return Ok(answer);
+        let at_end = read? == 0;
+        if let Some(response) = reader.step(at_end).map_err(invalid_data)? {
+            return Ok(response);
         }
-        if ended {
+        if at_end {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
     }
--- a/crates/sidecar/src/frontend/connection.rs
+++ b/crates/sidecar/src/frontend/connection.rs
@@ -1,4 +1,4 @@
-//! Reading: what a client connection brings, and how long it has for that.
+//! Reads requests from client connections, and limits the time that clients have for them.
 
 use super::response::close_gracefully;
 use super::{ConnectionSlot, Frontend, HttpTransport, StreamOf, WaitingConnection};
@@ -14,141 +14,157 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
 
-/// A request is whole so long after its connection or its first byte came, or it is turned away.
-const UNREADY: Duration = Duration::from_millis(2600);
-/// Bytes that the socket has and the runtime has not heard of are read after this time.
-const BETWEEN_READS: Duration = Duration::from_millis(1);
-/// A connection is not closed as idle so soon after it came.
-const GRACE: Duration = Duration::from_millis(300);
+/// A request must be complete this long after its first byte, or after the connection was opened; otherwise it
+/// is answered with 408.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2600);
+/// Interval at which bytes that the socket has received, but the runtime has not reported yet, are looked for.
+const UNREAD_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// A connection is not closed as idle this soon after it was opened.
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(300);
 
 impl<T: HttpTransport> Frontend<T> {
-    pub(super) async fn connection(
+    pub(super) async fn handle_connection(
         &self,
         mut stream: StreamOf<T>,
-        seat: &mut ConnectionSlot<T>,
+        slot: &mut ConnectionSlot<T>,
     ) -> io::Result<()> {
         send_promptly(&stream);
-        let mut machine = Connection::default();
+        let mut connection = Connection::default();
         let connected = self.platform.now();
-        let (mut since, mut first) = (connected, true);
-        // When the last bytes came: the time of a request counts from its last byte.
-        let mut last = connected;
-        let mut patience = ReadTimeout::new(connected);
-        // Places that lie evenly, however many there are: multiples of the golden ratio.
-        let place = (self.turn.replace(self.turn.get() + 1) as f64 * 0.618_033_988_749_895).fract();
-        while !machine.is_closed() {
-            match machine.step() {
+        let (mut since, mut is_first) = (connected, true);
+        // Time of the last read: the deadline of a request counts from its last byte.
+        let mut last_read = connected;
+        let mut body_timeout = ReadTimeout::new(connected);
+        // Multiples of the golden ratio spread the positions evenly, however many there are.
+        let close_position =
+            (self.next_ticket.replace(self.next_ticket.get() + 1) as f64 * 0.618_033_988_749_895).fract();
+        while !connection.is_closed() {
+            match connection.step() {
                 Step::More => {
-                    let idle = machine.is_idle();
-                    let owes = if first { Some(connected) } else { (!idle).then_some(since) };
+                    let is_idle = connection.is_idle();
+                    let incomplete_since =
+                        if is_first { Some(connected) } else { (!is_idle).then_some(since) };
                     let now = self.platform.now();
-                    // A head has its time; a body has as long as it goes on coming.
-                    let body = machine.is_reading_body();
-                    let until = if body { patience.start_wait(now) } else { owes.unwrap_or(now) + UNREADY };
-                    match self.read(&mut stream, &mut machine, owes, until, place).await? {
+                    // A head has a fixed time; a body has as long as it makes progress.
+                    let in_body = connection.is_reading_body();
+                    let until = if in_body {
+                        body_timeout.start_wait(now)
+                    } else {
+                        incomplete_since.unwrap_or(now) + REQUEST_TIMEOUT
+                    };
+                    match self
+                        .read(&mut stream, &mut connection, incomplete_since, until, close_position)
+                        .await?
+                    {
                         Read::Bytes(bytes) => {
-                            last = self.platform.now();
-                            if idle {
-                                since = last;
+                            last_read = self.platform.now();
+                            if is_idle {
+                                since = last_read;
                             }
-                            if body {
-                                patience.end_wait(last, bytes);
+                            if in_body {
+                                body_timeout.end_wait(last_read, bytes);
                             } else {
-                                patience = ReadTimeout::new(last);
+                                body_timeout = ReadTimeout::new(last_read);
                             }
                         }
                         Read::Closed => return Ok(()),
-                        // A request lies there unread: it is served first. Danger: the runtime may not have heard of it yet,
-                        // and does not before this task waits.
+                        // An unread request is served first. The runtime may not have reported it yet, and does
+                        // not before this task waits.
                         Read::ShuttingDown | Read::Evicted if !stream.quiet() => {
-                            self.platform.sleep(BETWEEN_READS).await;
+                            self.platform.sleep(UNREAD_POLL_INTERVAL).await;
                         }
-                        // Danger: a request may come in this moment. It is not read as one any more, but a close over
-                        // unread bytes would be a reset, and might take the last answer along.
-                        Read::ShuttingDown => return self.farewell(&mut stream, &machine).await,
+                        // A request may arrive at this moment. It is not served any more, but a close over
+                        // unread bytes would be a reset, and the client could lose its last response.
+                        Read::ShuttingDown => return self.close(&mut stream, &connection).await,
                         Read::Evicted => {
-                            return if seat.lingers() {
-                                self.farewell(&mut stream, &machine).await
+                            return if slot.lingers() {
+                                self.close(&mut stream, &connection).await
                             } else {
                                 Ok(())
                             };
                         }
-                        Read::TimedOut if idle => return self.farewell(&mut stream, &machine).await,
+                        Read::TimedOut if is_idle => return self.close(&mut stream, &connection).await,
                         Read::TimedOut => {
                             let status = Status::RequestTimeout;
-                            self.reply(&mut stream, &mut machine, status, "", b"", true).await?;
+                            self.respond(&mut stream, &mut connection, status, "", b"", true).await?;
                         }
                     }
                 }
                 Step::Continue(bytes) => stream.write_all(bytes).await?,
                 step @ (Step::Request(_) | Step::Upload(..)) => {
-                    first = false;
+                    is_first = false;
                     let (request, length) = match step {
                         Step::Upload(request, length) => (request, Some(length)),
                         Step::Request(request) => (request, None),
                         _ => return Ok(()),
                     };
-                    let upload = length.map(|length| Upload::new(self.budget.clone(), length));
-                    match self.request(&mut stream, &mut machine, request, upload, last).await? {
-                        // Danger: what came early has waited since then, and its budget has run.
-                        Some(early) => (since, last) = (early, early),
+                    let upload = length.map(|length| Upload::new(self.body_memory.clone(), length));
+                    match self
+                        .handle_request(&mut stream, &mut connection, request, upload, last_read)
+                        .await?
+                    {
+                        // A pipelined request has waited since its bytes arrived, and its time has been
+                        // running.
+                        Some(received) => (since, last_read) = (received, received),
                         None => return Ok(()),
                     }
                 }
                 Step::Reject(status) => {
                     count(&self.counters.bad_requests);
-                    self.reply(&mut stream, &mut machine, status, "", b"", true).await?;
+                    self.respond(&mut stream, &mut connection, status, "", b"", true).await?;
                 }
             }
         }
-        self.farewell(&mut stream, &machine).await
+        self.close(&mut stream, &connection).await
     }
 
-    async fn farewell(&self, stream: &mut StreamOf<T>, machine: &Connection) -> io::Result<()> {
-        close_gracefully(&self.platform, stream, machine.upload_cut_short()).await
+    async fn close(&self, stream: &mut StreamOf<T>, connection: &Connection) -> io::Result<()> {
+        close_gracefully(&self.platform, stream, connection.upload_cut_short()).await
     }
 
-    /// Reads more of a request that the connection `owes` since then, or waits for one that may never come.
+    /// Reads more of a request that has been incomplete since `incomplete_since`, or waits on an idle
+    /// connection for a request that may never come.
     async fn read(
         &self,
         stream: &mut StreamOf<T>,
-        machine: &mut Connection,
-        owes: Option<Instant>,
+        connection: &mut Connection,
+        incomplete_since: Option<Instant>,
         until: Instant,
-        place: f64,
+        close_position: f64,
     ) -> io::Result<Read> {
-        let idle = machine.is_idle();
-        let turn = self.turn.replace(self.turn.get() + 1);
+        let is_idle = connection.is_idle();
+        let ticket = self.next_ticket.replace(self.next_ticket.get() + 1);
         let wake = Rc::new(Notify::new());
-        self.waiting.borrow_mut().insert(turn, WaitingConnection { wake: wake.clone(), owes });
-        // Danger: a connection that was let in just now brings a request that nobody has read.
-        let grace = owes.map(|since| since + GRACE);
-        let retired = |machine: &Machine| machine.idle_until(place).map(|at| grace.map_or(at, |g| at.max(g)));
+        self.waiting.borrow_mut().insert(ticket, WaitingConnection { wake: wake.clone(), incomplete_since });
+        // A connection that was accepted just now may carry a request that has not been read.
+        let grace = incomplete_since.map(|since| since + NEW_CONNECTION_GRACE);
+        let shutting_down =
+            |machine: &Machine| machine.idle_until(close_position).map(|at| grace.map_or(at, |g| at.max(g)));
         let read = tokio::select! {
             biased;
-            read = stream.read_buf(machine.buffer()) => read.map(|n| if n > 0 { Read::Bytes(n) } else { Read::Closed }),
+            read = stream.read_buf(connection.buffer()) => read.map(|n| if n > 0 { Read::Bytes(n) } else { Read::Closed }),
             () = wake.notified() => Ok(Read::Evicted),
-            () = self.life.until(retired), if idle => Ok(Read::ShuttingDown),
-            () = self.platform.sleep_until(until), if owes.is_some() => {
+            () = self.life.until(shutting_down), if is_idle => Ok(Read::ShuttingDown),
+            () = self.platform.sleep_until(until), if incomplete_since.is_some() => {
                 count(&self.counters.frontend_mute);
                 Ok(Read::TimedOut)
             }
         };
-        self.waiting.borrow_mut().remove(&turn);
+        self.waiting.borrow_mut().remove(&ticket);
         read
     }
 }
 
-/// How a read of a client connection ended.
+/// Result of a read on a client connection.
 enum Read {
-    /// So many bytes came.
+    /// This many bytes arrived.
     Bytes(usize),
-    /// By the client's end.
+    /// The client closed the connection.
     Closed,
-    /// As room is needed.
+    /// The connection's slot is needed.
     Evicted,
-    /// On the way out.
+    /// The sidecar is shutting down.
     ShuttingDown,
-    /// A request was owed and did not come in time.
+    /// A request was not complete in time.
     TimedOut,
 }
--- a/crates/sidecar/src/frontend/mod.rs
+++ b/crates/sidecar/src/frontend/mod.rs
@@ -1,5 +1,5 @@
-//! The frontend: the listener and the client connections. It turns requests into sessions and verdicts into
-//! answers.
+//! The frontend: the listener and the client connections. It turns requests into entries of the request table,
+//! and final responses into HTTP responses.
 
 mod connection;
 mod request;
@@ -26,16 +26,16 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// On the way out, connections that wait to be accepted are looked for during this time.
-const LAST_CALL: Duration = Duration::from_millis(10);
-/// The same in all where some of them cannot be accepted.
-const LAST_CALL_AT_MOST: Duration = Duration::from_millis(300);
-/// After one that could not be accepted, the next is looked for so much later.
-const BETWEEN_ACCEPTS: Duration = Duration::from_millis(5);
-/// A connection that has brought no whole request for so long is the first to make room.
-const SLOW: Duration = Duration::from_millis(250);
+/// On shutdown, accepting continues until no waiting connection has been found for this long.
+const FINAL_ACCEPT_QUIET: Duration = Duration::from_millis(10);
+/// Maximum of that time in all, if some connections can't be accepted.
+const FINAL_ACCEPT_MAX: Duration = Duration::from_millis(300);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// A connection that has sent an incomplete request for this long is the first to be evicted.
+const SLOW_REQUEST_AGE: Duration = Duration::from_millis(250);
 
-/// A carrier that brings HTTP requests to backend servers: whatever it is, this frontend can stand before it.
+/// A transport that forwards HTTP requests; the frontend works with any implementation of it.
 pub trait HttpTransport: Transport<Payload = Rc<ForwardedRequest>, Response = EndpointResponse> {}
 
 impl<T: Transport<Payload = Rc<ForwardedRequest>, Response = EndpointResponse>> HttpTransport for T {}
@@ -46,158 +46,170 @@
 /// All client connections.
 pub struct Frontend<T: HttpTransport> {
     platform: T::Platform,
-    host: Rc<RequestDriver<T>>,
+    driver: Rc<RequestDriver<T>>,
     classes: RefCell<ClassRegistry>,
     tenants: RefCell<Vec<String>>,
     life: Rc<Life<T::Platform>>,
     counters: Rc<Counters>,
-    most: usize,
-    /// So many more may be on their way out.
-    spare: usize,
+    max_connections: usize,
+    /// Maximum number of additional connections that are being closed.
+    max_lingering: usize,
     lingering: Cell<usize>,
-    budget: Rc<BodyMemory>,
-    open: Cell<usize>,
-    left: Notify,
-    /// Connections that owe a request, the longest waiting first.
+    body_memory: Rc<BodyMemory>,
+    open_connections: Cell<usize>,
+    connection_ended: Notify,
+    /// Connections without an open request, by ticket, the longest waiting first.
     waiting: RefCell<BTreeMap<u64, WaitingConnection>>,
-    turn: Cell<u64>,
+    next_ticket: Cell<u64>,
     /// The ids of all open requests.
-    ids: RefCell<HashSet<Bytes>>,
+    open_ids: RefCell<HashSet<Bytes>>,
     fleet: Option<Rc<Fleet<T::Platform>>>,
 }
 
-/// A connection with no open request.
+/// A connection without an open request.
 struct WaitingConnection {
     wake: Rc<Notify>,
-    /// Since when it has owed a whole request; `None` if it has been served and may be idle.
-    owes: Option<Instant>,
+    /// Since when a complete request has been awaited; `None` if a request has been served and the connection
+    /// may be idle.
+    incomplete_since: Option<Instant>,
 }
 
 impl<T: HttpTransport> Frontend<T> {
-    /// A frontend that holds at most `most` connections and `spare` that are on their way out, and so many bytes of large
-    /// bodies before they are sent on.
+    /// Creates a frontend with at most `max_connections` connections and `max_lingering` more that are being
+    /// closed, and with `memory` bytes to buffer large bodies before they are sent on.
     pub fn new(
-        host: Rc<RequestDriver<T>>,
+        driver: Rc<RequestDriver<T>>,
         classes: ClassRegistry,
         tenants: Vec<String>,
         life: Rc<Life<T::Platform>>,
         counters: Rc<Counters>,
-        [most, spare, memory]: [usize; 3],
+        [max_connections, max_lingering, memory]: [usize; 3],
         fleet: Option<Rc<Fleet<T::Platform>>>,
     ) -> Rc<Frontend<T>> {
         Rc::new(Frontend {
-            platform: host.platform().clone(),
-            host,
+            platform: driver.platform().clone(),
+            driver,
             classes: RefCell::new(classes),
             tenants: RefCell::new(tenants),
             life,
             counters,
-            most,
-            spare,
+            max_connections,
+            max_lingering,
             lingering: Cell::new(0),
-            budget: BodyMemory::new(memory),
-            open: Cell::new(0),
-            left: Notify::new(),
+            body_memory: BodyMemory::new(memory),
+            open_connections: Cell::new(0),
+            connection_ended: Notify::new(),
             waiting: RefCell::default(),
-            turn: Cell::new(0),
-            ids: RefCell::default(),
+            next_ticket: Cell::new(0),
+            open_ids: RefCell::default(),
             fleet,
         })
     }
 
-    /// New settings, with the names of their classes. What is open keeps the class that it came under.
+    /// Puts new settings in force, with the names of their classes. Open requests keep the class that they
+    /// arrived under.
     pub fn apply_settings(&self, mut settings: Settings, names: &[String], tenants: Vec<String>) {
         let mut classes = self.classes.borrow_mut();
-        let from = classes.apply_settings(names, &settings.classes, self.platform.now());
+        let previous_classes = classes.apply_settings(names, &settings.classes, self.platform.now());
         settings.classes = classes.classes();
         self.counters.figures.name(&classes.names());
         self.tenants.replace(tenants);
-        self.host.apply_settings(settings, from);
+        self.driver.apply_settings(settings, previous_classes);
     }
 
-    /// Accepts and serves until the sidecar leaves, and returns when all is answered.
+    /// Accepts and serves connections until the sidecar shuts down, and returns when every request has its
+    /// response.
     pub async fn run(self: Rc<Self>, listener: ListenerOf<T>) {
         tokio::select! {
             biased;
             () = self.life.until(Machine::accepts_until) => {}
             () = self.accept(&listener) => {}
         }
-        // Danger: what the machine has accepted is ours, and would be reset with the listener. A listener that a
-        // successor reads too stays open, and what waits there is the successor's.
+        // A connection accepted by the operating system belongs to this process and would be reset with the
+        // listener. A listener shared with a successor stays open, and connections waiting there are the
+        // successor's.
         if !self.life.ask(|machine, _| machine.shared()) {
             self.accept_waiting(&listener).await;
         }
         drop(listener);
-        while self.open.get() + self.lingering.get() > 0 {
-            self.left.notified().await;
+        while self.open_connections.get() + self.lingering.get() > 0 {
+            self.connection_ended.notified().await;
         }
     }
 
     async fn accept(self: &Rc<Self>, listener: &ListenerOf<T>) {
         self.life.until(|machine| Some(machine.accepts_from())).await;
         loop {
-            // Danger: past the limit of descriptors nothing works any more, so a place is made or awaited
-            // before the next client is let in.
-            while self.open.get() >= self.most {
+            // Beyond the limit of descriptors nothing works any more, so room is made or awaited before the
+            // next client is accepted.
+            while self.open_connections.get() >= self.max_connections {
                 self.evict();
-                // One that is woken may have just got its request and stay.
-                let _ = self.platform.timeout(Duration::from_millis(10), self.left.notified()).await;
+                // A connection that is woken may just have received its request and stay.
+                let _ =
+                    self.platform.timeout(Duration::from_millis(10), self.connection_ended.notified()).await;
             }
-            // Danger: without a descriptor for the next client nobody gets in, however many of the others are idle.
+            // Without a descriptor for the next client no one can connect, however many of the other
+            // connections are idle.
             let stream = accept_connection(&self.platform, listener, &self.counters, || self.evict()).await;
-            self.welcome(stream);
+            self.serve_connection(stream);
         }
     }
 
-    /// Accepts what the machine has accepted before the listener goes.
+    /// Accepts the connections that the operating system has accepted before the listener is closed.
     async fn accept_waiting(self: &Rc<Self>, listener: &ListenerOf<T>) {
-        let begun = self.platform.now();
-        let mut until = begun + LAST_CALL;
-        // Danger: a time-out alone does not end this where accept is ready, or fails, at once each time.
+        let started = self.platform.now();
+        let mut until = started + FINAL_ACCEPT_QUIET;
+        // The time-out alone does not end this loop if accept succeeds, or fails, at once each time.
         while self.platform.now() < until {
             match self.platform.timeout_at(until, listener.accept()).await {
-                Ok(Ok(stream)) => self.welcome(stream),
-                // One that left at once, or a lack that may pass: others still wait.
+                Ok(Ok(stream)) => self.serve_connection(stream),
+                // Either the client has gone already, or descriptors are short for a moment: others may still
+                // be waiting.
                 Ok(Err(error)) => {
                     count(&self.counters.accept_failures);
                     if lacks_descriptor(&error) {
                         self.evict();
                     }
-                    self.platform.sleep(BETWEEN_ACCEPTS).await;
-                    until = (self.platform.now() + LAST_CALL).min(begun + LAST_CALL_AT_MOST);
+                    self.platform.sleep(ACCEPT_RETRY_DELAY).await;
+                    until = (self.platform.now() + FINAL_ACCEPT_QUIET).min(started + FINAL_ACCEPT_MAX);
                 }
                 Err(_) => return,
             }
         }
     }
 
-    fn welcome(self: &Rc<Self>, stream: StreamOf<T>) {
+    fn serve_connection(self: &Rc<Self>, stream: StreamOf<T>) {
         count(&self.counters.frontend_connections);
-        let mut seat = ConnectionSlot::take(self);
+        let mut slot = ConnectionSlot::take(self);
         self.platform.detach(async move {
-            let frontend = seat.frontend.clone();
-            // A client that breaks off has left; there is nobody to tell.
-            let _ = frontend.connection(stream, &mut seat).await;
+            let frontend = slot.frontend.clone();
+            // If the connection breaks there is no client left to inform.
+            let _ = frontend.handle_connection(stream, &mut slot).await;
         });
     }
 
-    /// Wakes the connection that can best be done without. Danger: hundreds that say nothing, or never end what
-    /// they say, would take the places of clients that do; so those go first, then who has been idle longest.
+    /// Evicts the most dispensable connection. Otherwise, hundreds of clients that send nothing, or never
+    /// complete a request, would keep out others; so those go first, then the one that has been idle longest.
     fn evict(&self) {
         let mut waiting = self.waiting.borrow_mut();
-        let slow = |w: &WaitingConnection| w.owes.is_some_and(|since| self.platform.since(since) >= SLOW);
-        let first = |of: &dyn Fn(&WaitingConnection) -> bool| {
-            waiting.iter().find(|(_, w)| of(w)).map(|(&turn, _)| turn)
+        let slow = |connection: &WaitingConnection| {
+            connection.incomplete_since.is_some_and(|since| self.platform.since(since) >= SLOW_REQUEST_AGE)
         };
-        let turn = first(&slow).or_else(|| first(&|w| w.owes.is_none())).or_else(|| first(&|_| true));
-        if let Some(waiting) = turn.and_then(|turn| waiting.remove(&turn)) {
+        let oldest = |matches: &dyn Fn(&WaitingConnection) -> bool| {
+            waiting.iter().find(|(_, connection)| matches(connection)).map(|(&ticket, _)| ticket)
+        };
+        let ticket = oldest(&slow)
+            .or_else(|| oldest(&|connection| connection.incomplete_since.is_none()))
+            .or_else(|| oldest(&|_| true));
+        if let Some(waiting) = ticket.and_then(|ticket| waiting.remove(&ticket)) {
             count(&self.counters.frontend_evicted);
             waiting.wake.notify_one();
         }
     }
 }
 
-/// The next connection. No failed accept ends the service; one for lack of a descriptor asks the caller to `make_room`.
+/// Accepts the next connection. A failed accept never ends the service; if descriptors are short, `make_room`
+/// is called.
 pub(crate) async fn accept_connection<P: Platform>(
     platform: &P,
     listener: &P::Listener,
@@ -212,13 +224,13 @@
                 if lacks_descriptor(&error) {
                     make_room();
                 }
-                platform.sleep(BETWEEN_ACCEPTS).await;
+                platform.sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// A connection's place among all of them, given back when dropped.
+/// The slot of a connection among all of them, freed when dropped.
 struct ConnectionSlot<T: HttpTransport> {
     frontend: Rc<Frontend<T>>,
     lingering: bool,
@@ -226,29 +238,29 @@
 
 impl<T: HttpTransport> ConnectionSlot<T> {
     fn take(frontend: &Rc<Frontend<T>>) -> ConnectionSlot<T> {
-        frontend.open.set(frontend.open.get() + 1);
+        frontend.open_connections.set(frontend.open_connections.get() + 1);
         ConnectionSlot { frontend: frontend.clone(), lingering: false }
     }
 
-    /// Its connection is on its way out and its place is another's, if there is one to linger in. Danger: who makes room
-    /// must make it at once, or more and more would be sent away for one that comes.
+    /// Moves a connection that is being closed out of the regular slots, if it may still linger. A slot must
+    /// become free at once; otherwise more and more connections would be evicted for a single new one.
     fn lingers(&mut self) -> bool {
         let frontend = &self.frontend;
-        if frontend.lingering.get() >= frontend.spare {
+        if frontend.lingering.get() >= frontend.max_lingering {
             return false;
         }
         self.lingering = true;
         frontend.lingering.set(frontend.lingering.get() + 1);
-        frontend.open.set(frontend.open.get() - 1);
-        frontend.left.notify_one();
+        frontend.open_connections.set(frontend.open_connections.get() - 1);
+        frontend.connection_ended.notify_one();
         true
     }
 }
 
 impl<T: HttpTransport> Drop for ConnectionSlot<T> {
     fn drop(&mut self) {
-        let place = if self.lingering { &self.frontend.lingering } else { &self.frontend.open };
-        place.set(place.get() - 1);
-        self.frontend.left.notify_one();
+        let counter = if self.lingering { &self.frontend.lingering } else { &self.frontend.open_connections };
+        counter.set(counter.get() - 1);
+        self.frontend.connection_ended.notify_one();
     }
 }
--- a/crates/sidecar/src/frontend/request.rs
+++ b/crates/sidecar/src/frontend/request.rs
@@ -1,4 +1,5 @@
-//! Waiting for an outcome: a request becomes a session, and its client is heard meanwhile.
+//! Handles one request: adds it to the request table, and watches the client connection until the final
+//! response.
 
 use super::{Frontend, HttpTransport, StreamOf};
 use crate::attempt::ForwardedRequest;
@@ -9,7 +10,7 @@
 use crate::http::server::{CALL_ID, Connection, Request, Status};
 use crate::http::{BodyPiece, ParseError};
 use crate::lifecycle::Machine;
-use crate::purse::Held as Spent;
+use crate::purse::Held as BudgetHold;
 use crate::requests::{FinalResponse, NewRequest};
 use crate::upload::{ReadTimeout, Upload};
 use bytes::Bytes;
@@ -21,98 +22,106 @@
 use std::time::{Duration, Instant};
 use tokio::io::AsyncReadExt;
 
-/// While a client's bytes are not read, it is looked for its end at these intervals. A tenth of a second after a client has
-/// left no attempt may begin for it.
-const BETWEEN_LOOKS: Duration = Duration::from_millis(25);
-/// The longest id of a request.
-const MAX_ID: usize = 128;
+/// Interval at which the client's end of the connection is checked while its bytes are not read. No attempt may
+/// start later than 100 ms after the client has disconnected.
+const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Maximum length of a request's id.
+const MAX_ID_LENGTH: usize = 128;
 
 impl<T: HttpTransport> Frontend<T> {
-    /// Serves one request and tells since when the next one has been coming; `None` when its client has left.
-    pub(super) async fn request(
+    /// Serves one request. Returns since when the next request has been arriving, or `None` if the client has
+    /// disconnected.
+    pub(super) async fn handle_request(
         &self,
         stream: &mut StreamOf<T>,
-        machine: &mut Connection,
+        connection: &mut Connection,
         mut request: Request,
         upload: Option<Upload>,
         since: Instant,
     ) -> io::Result<Option<Instant>> {
-        let mut early = (upload.is_none() && machine.has_pipelined()).then_some(since);
-        let closes = || self.life.ask(Machine::closes);
+        let mut pipelined_since = (upload.is_none() && connection.has_pipelined()).then_some(since);
+        let closing = || self.life.ask(Machine::closes);
         if request.method == "GET" && request.path() == b"/up" {
-            // Without a list there is nowhere to send a request to.
+            // Without an endpoint list, requests can't be sent anywhere.
             let status = if self.life.ask(Machine::wanted) { Status::Ok } else { Status::Unavailable };
-            self.reply(stream, machine, status, "", b"", closes()).await?;
-            return Ok(Some(early.unwrap_or_else(|| self.platform.now())));
+            self.respond(stream, connection, status, "", b"", closing()).await?;
+            return Ok(Some(pipelined_since.unwrap_or_else(|| self.platform.now())));
         }
         if request.method == "GET" && request.path() == b"/counters" {
             let json = self.counters.json();
             let extra = "Content-Type: application/json\r\n";
-            self.reply(stream, machine, Status::Ok, extra, json.as_bytes(), closes()).await?;
-            return Ok(Some(early.unwrap_or_else(|| self.platform.now())));
+            self.respond(stream, connection, Status::Ok, extra, json.as_bytes(), closing()).await?;
+            return Ok(Some(pipelined_since.unwrap_or_else(|| self.platform.now())));
         }
-        let mut patience = ReadTimeout::new(since);
+        let mut body_timeout = ReadTimeout::new(since);
         if let Some(upload) = &upload {
-            // Danger: what can't be taken is turned away before its body is waited for.
-            if let Err(fault) = self.class_of(&request, true) {
-                return self.reject_invalid(stream, machine, fault.into()).await;
+            // An invalid request is rejected before its body is awaited.
+            if let Err(error) = self.class_for(&request, true) {
+                return self.reject_invalid(stream, connection, error.into()).await;
             }
             upload.push(std::mem::take(&mut request.body));
             while upload.reserve_buffer() {
-                match self.feed(stream, machine, upload, &mut patience).await? {
+                match self.read_body(stream, connection, upload, &mut body_timeout).await? {
                     ClientInput::Received => {}
                     ClientInput::Disconnected => return Ok(None),
                     ClientInput::Invalid(status) => {
-                        return self.reject_invalid(stream, machine, status).await;
+                        return self.reject_invalid(stream, connection, status).await;
                     }
                 }
             }
             upload.start_sending();
         }
-        let whole = upload.as_ref().is_none_or(Upload::is_complete);
+        let complete = upload.as_ref().is_none_or(Upload::is_complete);
         let since = if upload.is_some() { self.platform.now() } else { since };
-        let more =
-            upload.as_ref().map(|upload| upload.expected_time_left(patience.waited())).unwrap_or_default();
-        let taken = self.opening(request, upload, since, more).and_then(|(opening, due)| {
-            let id = opening.payload.request.headers.single(CALL_ID)?.cloned().unwrap_or_default();
-            Ok((OpenRequestId::take(self, id)?, opening, due))
-        });
-        let (id, opening, due) = match taken {
-            Ok(taken) => taken,
-            Err(fault) => return self.reject_invalid(stream, machine, fault.into()).await,
+        let body_time = upload
+            .as_ref()
+            .map(|upload| upload.expected_time_left(body_timeout.waited()))
+            .unwrap_or_default();
+        let registered =
+            self.new_request(request, upload, since, body_time).and_then(|(new_request, deadline)| {
+                let id = new_request.payload.request.headers.single(CALL_ID)?.cloned().unwrap_or_default();
+                Ok((OpenRequestId::take(self, id)?, new_request, deadline))
+            });
+        let (id, new_request, deadline) = match registered {
+            Ok(registered) => registered,
+            Err(error) => return self.reject_invalid(stream, connection, error.into()).await,
         };
-        let (class, payload) = (opening.class, opening.payload.clone());
-        // Given back with the answer.
-        let _spent = match self.spend(&payload) {
-            Ok(spent) => spent,
-            Err(after) => {
+        let (class, payload) = (new_request.class, new_request.payload.clone());
+        // Released with the response.
+        let _budget_hold = match self.reserve_budget(&payload) {
+            Ok(budget_hold) => budget_hold,
+            Err(retry_after) => {
                 drop(id);
                 count(&self.counters.budget_refused);
                 self.counters.figures.count(class, |tally| &mut tally.throttled);
-                // Danger: what of its body is still to come would pass for the next request.
-                self.reject(stream, machine, Some(after), !whole || closes()).await?;
-                return Ok(whole.then(|| early.unwrap_or_else(|| self.platform.now())));
+                // The rest of the body would be taken for the next request, so the connection is closed.
+                self.reject(stream, connection, Some(retry_after), !complete || closing()).await?;
+                return Ok(complete.then(|| pipelined_since.unwrap_or_else(|| self.platform.now())));
             }
         };
-        // Taken it is when its last byte has come.
-        let mut _open = whole.then(|| self.counters.figures.begin());
-        let budget = payload.request.time_budget().unwrap_or_default();
-        let mut late = None;
-        let _held = ClassHold::take(self, class);
-        let verdict = {
-            let served = self.host.serve(opening, due);
-            tokio::pin!(served);
+        // A request counts as open once its last byte has arrived.
+        let mut _open_count = complete.then(|| self.counters.figures.begin());
+        let time_budget = payload.request.time_budget().unwrap_or_default();
+        let mut response_due = None;
+        let _class_hold = ClassHold::take(self, class);
+        let response = {
+            let serving = self.driver.serve(new_request, deadline);
+            tokio::pin!(serving);
             loop {
-                // Danger: a client's close is only seen by reading; so that is done while it waits, and what comes
-                // early is kept for the next request, within bounds. Behind a flood lies an end too.
-                let coming = payload.upload.as_ref().filter(|upload| !upload.is_complete());
-                let listens = coming.is_some() || !machine.has_overflowed();
-                let feed = async {
-                    match coming {
-                        Some(upload) => self.feed(stream, machine, upload, &mut patience).await,
+                // The client's close is only seen by reading, so the connection is read while the client waits.
+                // Bytes of a later request are kept, within bounds; beyond them, bytes are discarded, since a
+                // close may follow them as well.
+                let upload_in_progress = payload.upload.as_ref().filter(|upload| !upload.is_complete());
+                let read_client = upload_in_progress.is_some() || !connection.has_overflowed();
+                let read_body = async {
+                    match upload_in_progress {
+                        Some(upload) => self.read_body(stream, connection, upload, &mut body_timeout).await,
                         None => {
-                            let buffer =
-                                if machine.is_full() { machine.overflow_buffer() } else { machine.buffer() };
+                            let buffer = if connection.is_full() {
+                                connection.overflow_buffer()
+                            } else {
+                                connection.buffer()
+                            };
                             match stream.read_buf(buffer).await {
                                 Ok(1..) => Ok(ClientInput::Received),
                                 _ => Ok(ClientInput::Disconnected),
@@ -120,84 +129,93 @@
                         }
                     }
                 };
-                let fed = tokio::select! {
+                let input = tokio::select! {
                     biased;
-                    verdict = &mut served => break verdict,
-                    fed = feed, if listens => fed?,
-                    () = self.platform.sleep_until(late.unwrap_or(due)), if late.is_some() => {
+                    response = &mut serving => break response,
+                    input = read_body, if read_client => input?,
+                    () = self.platform.sleep_until(response_due.unwrap_or(deadline)), if response_due.is_some() => {
                         break FinalResponse::TimedOut;
                     }
                     () = self.life.until(Machine::answered_by) => break FinalResponse::TimedOut,
                 };
-                match (fed, coming) {
+                match (input, upload_in_progress) {
                     (ClientInput::Disconnected, _) => return Ok(None),
                     (ClientInput::Invalid(status), _) => {
-                        return self.reject_invalid(stream, machine, status).await;
+                        return self.reject_invalid(stream, connection, status).await;
                     }
                     (ClientInput::Received, None) => {
-                        early.get_or_insert_with(|| self.platform.now());
+                        pipelined_since.get_or_insert_with(|| self.platform.now());
                     }
-                    // Now its time begins.
+                    // The time for the response starts now.
                     (ClientInput::Received, Some(upload)) if upload.is_complete() => {
-                        _open = Some(self.counters.figures.begin());
-                        late = Some(self.platform.now() + time_left(budget, Duration::ZERO).1);
+                        _open_count = Some(self.counters.figures.begin());
+                        response_due = Some(self.platform.now() + time_left(time_budget, Duration::ZERO).1);
                     }
                     (ClientInput::Received, Some(_)) => {}
                 }
             }
         };
-        // What it was counted for and its id are free before its answer can be seen.
+        // The id is released before the client can see the response, since it may use the id again at once.
         drop(id);
-        let close = closes();
+        let close = closing();
         let tally = |what: fn(&mut Tally) -> &mut u64| self.counters.figures.count(class, what);
-        match verdict {
-            FinalResponse::Served(EndpointResponse { response: answer, remaining_body: rest }) => {
-                let kind = answer.headers.single("content-type").ok().flatten();
-                let kind = kind.and_then(|kind| std::str::from_utf8(kind).ok());
-                let extra = kind.map(|kind| format!("Content-Type: {kind}\r\n")).unwrap_or_default();
-                let Some(bulk) = answer.streamed else {
+        match response {
+            FinalResponse::Served(EndpointResponse { response, remaining_body }) => {
+                let content_type = response.headers.single("content-type").ok().flatten();
+                let content_type = content_type.and_then(|value| std::str::from_utf8(value).ok());
+                let extra =
+                    content_type.map(|value| format!("Content-Type: {value}\r\n")).unwrap_or_default();
+                let Some(streamed) = response.streamed else {
                     tally(|tally| &mut tally.fulfilled);
-                    self.reply(stream, machine, Status::Ok, &extra, &answer.body, close).await?;
-                    return Ok(Some(early.unwrap_or_else(|| self.platform.now())));
+                    self.respond(stream, connection, Status::Ok, &extra, &response.body, close).await?;
+                    return Ok(Some(pipelined_since.unwrap_or_else(|| self.platform.now())));
                 };
-                let (head, coding) = machine.streamed_response_head(&extra, bulk.length, close);
-                let Some(rest) = rest.take() else { return Ok(None) };
-                // Danger: a client must be able to tell that an answer is not whole, so what breaks off ends its
-                // connection without the end mark or short of the length.
-                let whole = self.relay(stream, head, coding, answer.body, rest).await;
-                tally(if whole.is_ok() { |tally| &mut tally.fulfilled } else { |tally| &mut tally.faulted });
-                whole?;
+                let (head, coding) = connection.streamed_response_head(&extra, streamed.length, close);
+                let Some(remaining_body) = remaining_body.take() else { return Ok(None) };
+                // The client must be able to detect an incomplete response, so when a transfer breaks off, the
+                // connection is closed without the final chunk or before the stated length.
+                let complete = self.relay(stream, head, coding, response.body, remaining_body).await;
+                tally(if complete.is_ok() {
+                    |tally| &mut tally.fulfilled
+                } else {
+                    |tally| &mut tally.faulted
+                });
+                complete?;
             }
             FinalResponse::Rejected { retry_after } => {
                 tally(|tally| &mut tally.throttled);
-                self.reject(stream, machine, retry_after, close).await?;
+                self.reject(stream, connection, retry_after, close).await?;
             }
             FinalResponse::Failed | FinalResponse::TimedOut => {
                 tally(|tally| &mut tally.faulted);
-                let late = matches!(verdict, FinalResponse::TimedOut);
-                let status = if late { Status::GatewayTimeout } else { Status::BadGateway };
-                self.reply(stream, machine, status, "", b"", close).await?;
+                let timed_out = matches!(response, FinalResponse::TimedOut);
+                let status = if timed_out { Status::GatewayTimeout } else { Status::BadGateway };
+                self.respond(stream, connection, status, "", b"", close).await?;
             }
         }
-        Ok(Some(early.unwrap_or_else(|| self.platform.now())))
+        Ok(Some(pipelined_since.unwrap_or_else(|| self.platform.now())))
     }
 
-    /// What a request takes of the fleet's budgets, or after how long it may come again.
-    fn spend(&self, payload: &ForwardedRequest) -> Result<Option<Spent<T::Platform>>, Duration> {
+    /// Takes a request's share of the fleet's budgets; fails with the time after which the client may retry.
+    fn reserve_budget(
+        &self,
+        payload: &ForwardedRequest,
+    ) -> Result<Option<BudgetHold<T::Platform>>, Duration> {
         let Some(fleet) = &self.fleet else { return Ok(None) };
         let caller = payload.request.headers.single("x-caller").ok().flatten();
         fleet.admit(caller.map(|caller| &caller[..]))
     }
 
-    /// Takes the next piece of a large body, or waits for it or for room. Dropped, it loses nothing.
-    async fn feed(
+    /// Takes the next piece of a large body, or waits for bytes or for room. No bytes are lost if the future is
+    /// dropped.
+    async fn read_body(
         &self,
         stream: &mut StreamOf<T>,
-        machine: &mut Connection,
+        connection: &mut Connection,
         upload: &Upload,
-        patience: &mut ReadTimeout,
+        body_timeout: &mut ReadTimeout,
     ) -> io::Result<ClientInput> {
-        match machine.next_piece() {
+        match connection.next_piece() {
             Ok(BodyPiece::Bytes(piece)) => upload.push(piece),
             Ok(BodyPiece::End) => upload.finish(),
             Err(status) => return Ok(ClientInput::Invalid(status)),
@@ -206,13 +224,13 @@
                     tokio::select! {
                         biased;
                         () = upload.wait_for_room() => {}
-                        () = self.leaves_unread(stream) => return Ok(ClientInput::Disconnected),
+                        () = self.wait_for_disconnect(stream) => return Ok(ClientInput::Disconnected),
                     }
                 }
-                let until = patience.start_wait(self.platform.now());
-                match self.platform.timeout_at(until, stream.read_buf(machine.buffer())).await {
+                let until = body_timeout.start_wait(self.platform.now());
+                match self.platform.timeout_at(until, stream.read_buf(connection.buffer())).await {
                     Ok(Ok(0)) => return Ok(ClientInput::Disconnected),
-                    Ok(read) => patience.end_wait(self.platform.now(), read?),
+                    Ok(read) => body_timeout.end_wait(self.platform.now(), read?),
                     Err(_) => {
                         count(&self.counters.frontend_mute);
                         return Ok(ClientInput::Invalid(Status::RequestTimeout));
@@ -223,46 +241,54 @@
         Ok(ClientInput::Received)
     }
 
-    /// Waits until a client has left whose bytes are not read now: nothing may begin for it any more.
-    async fn leaves_unread(&self, stream: &StreamOf<T>) {
+    /// Waits until a client whose bytes are not being read has disconnected; afterwards no attempt may start
+    /// for it.
+    async fn wait_for_disconnect(&self, stream: &StreamOf<T>) {
         while !stream.ended() {
-            self.platform.sleep(BETWEEN_LOOKS).await;
+            self.platform.sleep(DISCONNECT_POLL_INTERVAL).await;
         }
     }
 
-    /// The class of a request, by its name and form.
-    fn class_of(&self, request: &Request, body: bool) -> Result<ClassId, ParseError> {
+    /// The class of a request, by name and form.
+    fn class_for(&self, request: &Request, body: bool) -> Result<ClassId, ParseError> {
         let key = request.headers.single("idempotency-key")?;
-        // Danger: the class alone says whether a request may be repeated; one that comes in another class's form
-        // is not what it says.
+        // The class alone decides whether a request may be retried, so a request in the form of another class
+        // is invalid.
         let form =
             RequestForm::of(&request.method, body, key.map(|key| &key[..])).ok_or(ParseError::Malformed)?;
         let class = self.classes.borrow().find(request.class_name(), form, self.platform.now());
         class.ok_or(ParseError::Malformed)
     }
 
-    /// What a request asks for, and when its answer is due at the latest.
-    fn opening(
+    /// Builds the entry for the request table, and the latest time for the final response.
+    fn new_request(
         &self,
         request: Request,
         upload: Option<Upload>,
         since: Instant,
-        more: Duration,
+        body_time: Duration,
     ) -> Result<(NewRequest<Rc<ForwardedRequest>>, Instant), ParseError> {
         let id = request.headers.single(CALL_ID)?;
-        if id.is_none_or(|id| id.is_empty() || id.len() > MAX_ID || !id.iter().all(u8::is_ascii_graphic)) {
+        if id.is_none_or(|id| {
+            id.is_empty() || id.len() > MAX_ID_LENGTH || !id.iter().all(u8::is_ascii_graphic)
+        }) {
             return Err(ParseError::Malformed);
         }
-        let class = self.class_of(&request, upload.is_some() || !request.body.is_empty())?;
+        let class = self.class_for(&request, upload.is_some() || !request.body.is_empty())?;
         let caller = request.headers.single("x-caller")?;
-        let tenant = caller.and_then(|c| self.tenants.borrow().iter().position(|t| t.as_bytes() == c));
-        let repeat = request.headers.lists("x-again", "1");
-        let (left, due) = time_left(request.time_budget()?, self.platform.since(since));
+        let tenant =
+            caller.and_then(|caller| self.tenants.borrow().iter().position(|t| t.as_bytes() == caller));
+        let client_retry = request.headers.lists("x-again", "1");
+        let (time_left, deadline) = time_left(request.time_budget()?, self.platform.since(since));
         let now = self.platform.now();
-        let last = self.life.ask(Machine::due).map(|last| last.saturating_duration_since(now));
-        // The body of a large request has its time before that; SIGKILL waits for neither.
-        let (left, due) = (left + more, due + more);
-        let (left, due) = (left.min(last.unwrap_or(left)), now + due.min(last.unwrap_or(due)));
+        let until_shutdown = self.life.ask(Machine::due).map(|at| at.saturating_duration_since(now));
+        // The time for the body of a large request comes on top of the client's limit; the shutdown deadline
+        // extends for neither, since SIGKILL follows.
+        let (time_left, deadline) = (time_left + body_time, deadline + body_time);
+        let (time_left, deadline) = (
+            time_left.min(until_shutdown.unwrap_or(time_left)),
+            now + deadline.min(until_shutdown.unwrap_or(deadline)),
+        );
         let payload = Rc::new(ForwardedRequest {
             request,
             class,
@@ -270,44 +296,36 @@
             attempts_started: Cell::new(0),
             last_failure: Cell::default(),
         });
-        Ok((
-            NewRequest {
-                class,
-                tenant: tenant.map(TenantId),
-                time_left: left,
-                client_retry: repeat,
-                payload,
-            },
-            due,
-        ))
+        Ok((NewRequest { class, tenant: tenant.map(TenantId), time_left, client_retry, payload }, deadline))
     }
 }
 
-/// What is left of a budget for the module, and until the hard answer. The client counts from its send and
-/// what we write takes time to arrive, so a margin is kept: half for the way, half for the module's answer.
-pub fn time_left(budget: Duration, gone: Duration) -> (Duration, Duration) {
+/// Splits the client's time into the time left for the module and the time until a response is sent in any
+/// case. The client counts from when it sent the request, and responses take time to arrive, so a margin is
+/// kept: half of it for the way, half for the module to respond.
+pub fn time_left(budget: Duration, elapsed: Duration) -> (Duration, Duration) {
     let margin = (budget / 20).clamp(Duration::from_millis(4), Duration::from_millis(60)).min(budget / 2);
-    let left = budget.saturating_sub(gone);
-    (left.saturating_sub(margin), left.saturating_sub(margin / 2))
+    let remaining = budget.saturating_sub(elapsed);
+    (remaining.saturating_sub(margin), remaining.saturating_sub(margin / 2))
 }
 
-/// What came of waiting for a client while its request is open.
+/// Input from a client while its request is open.
 enum ClientInput {
     Received,
-    /// It has left.
+    /// The client has disconnected.
     Disconnected,
-    /// What came can't be the rest of its request, or stood still.
+    /// The bytes can't be the rest of the request, or stopped arriving.
     Invalid(Status),
 }
 
-/// The id of an open request, free again when dropped.
+/// The id of an open request, released when dropped.
 struct OpenRequestId<'a, T: HttpTransport>(&'a Frontend<T>, Bytes);
 
 impl<'a, T: HttpTransport> OpenRequestId<'a, T> {
-    /// Danger: two open requests of one id can't be told apart by anyone behind us, who would take one for a
-    /// copy of the other.
+    /// Two open requests with the same id could not be told apart by endpoints, which would take one for a copy
+    /// of the other.
     fn take(frontend: &'a Frontend<T>, id: Bytes) -> Result<OpenRequestId<'a, T>, ParseError> {
-        if !frontend.ids.borrow_mut().insert(id.clone()) {
+        if !frontend.open_ids.borrow_mut().insert(id.clone()) {
             count(&frontend.counters.repeated_ids);
             return Err(ParseError::Malformed);
         }
@@ -317,11 +335,11 @@
 
 impl<T: HttpTransport> Drop for OpenRequestId<'_, T> {
     fn drop(&mut self) {
-        self.0.ids.borrow_mut().remove(&self.1);
+        self.0.open_ids.borrow_mut().remove(&self.1);
     }
 }
 
-/// A request that has the number of a class; the number is not another's as long as this is there.
+/// Marks a class number as used by a request; until this is dropped the number is not given to another class.
 struct ClassHold<'a, T: HttpTransport>(&'a Frontend<T>, ClassId);
 
 impl<'a, T: HttpTransport> ClassHold<'a, T> {
--- a/crates/sidecar/src/frontend/response.rs
+++ b/crates/sidecar/src/frontend/response.rs
@@ -1,4 +1,4 @@
-//! Answers and ends: how they are written, and how a connection is closed without losing what was written.
+//! Writes responses, and closes connections without losing what was written.
 
 use super::{Frontend, HttpTransport, StreamOf};
 use crate::counters::count;
@@ -11,95 +11,96 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// A client that takes no bytes of its answer for so long is let go.
-const STALLED: Duration = Duration::from_secs(10);
+/// A client that accepts no bytes of its response for this long is disconnected.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl<T: HttpTransport> Frontend<T> {
-    /// Denies a request, with the time after which it may come again.
+    /// Rejects a request, with the time after which the client may retry.
     pub(super) async fn reject(
         &self,
         stream: &mut StreamOf<T>,
-        machine: &mut Connection,
-        after: Option<Duration>,
+        connection: &mut Connection,
+        retry_after: Option<Duration>,
         close: bool,
     ) -> io::Result<()> {
-        let after = after.unwrap_or(Duration::from_secs(1)).as_secs_f64();
-        let extra = format!("Retry-After: {after:.3}\r\n");
-        self.reply(stream, machine, Status::Unavailable, &extra, b"", close).await
+        let retry_after = retry_after.unwrap_or(Duration::from_secs(1)).as_secs_f64();
+        let extra = format!("Retry-After: {retry_after:.3}\r\n");
+        self.respond(stream, connection, Status::Unavailable, &extra, b"", close).await
     }
 
-    /// Answers what can't be taken; its connection ends with it.
+    /// Responds to an invalid request and closes its connection.
     pub(super) async fn reject_invalid(
         &self,
         stream: &mut StreamOf<T>,
-        machine: &mut Connection,
+        connection: &mut Connection,
         status: Status,
     ) -> io::Result<Option<Instant>> {
         count(&self.counters.bad_requests);
-        self.reply(stream, machine, status, "", b"", true).await?;
+        self.respond(stream, connection, status, "", b"", true).await?;
         Ok(Some(self.platform.now()))
     }
 
-    /// Passes a large answer on as it comes.
+    /// Forwards a large response as it arrives.
     pub(super) async fn relay(
         &self,
         stream: &mut StreamOf<T>,
         head: Bytes,
         coding: BodyCoding,
         first: Bytes,
-        mut rest: Box<dyn BodyStream>,
+        mut remaining_body: Box<dyn BodyStream>,
     ) -> io::Result<()> {
-        // Head and beginning go out together.
+        // The head and the beginning of the body are written together.
         let mut message = BytesMut::from(head);
         message.extend_from_slice(&coding.frame(&first));
         let mut message = message.freeze();
         loop {
-            self.platform.timeout(STALLED, stream.write_all(&message)).await??;
-            match rest.next().await? {
+            self.platform.timeout(WRITE_TIMEOUT, stream.write_all(&message)).await??;
+            match remaining_body.next().await? {
                 Some(piece) => message = coding.frame(&piece),
                 None => break,
             }
         }
-        self.platform.timeout(STALLED, stream.write_all(coding.end())).await?
+        self.platform.timeout(WRITE_TIMEOUT, stream.write_all(coding.end())).await?
     }
 
-    pub(super) async fn reply(
+    pub(super) async fn respond(
         &self,
         stream: &mut StreamOf<T>,
-        machine: &mut Connection,
+        connection: &mut Connection,
         status: Status,
         extra: &str,
         body: &[u8],
         close: bool,
     ) -> io::Result<()> {
-        let mut message = machine.response_head(status, extra, body.len(), close);
+        let mut message = connection.response_head(status, extra, body.len(), close);
         message.extend_from_slice(body);
-        self.platform.timeout(STALLED, stream.write_all(&message)).await?
+        self.platform.timeout(WRITE_TIMEOUT, stream.write_all(&message)).await?
     }
 }
 
-/// Ends a connection after its last answer. Danger: closing with unread bytes resets the connection and may take the
-/// answer along.
+/// Closes a connection after its last response. Closing with unread bytes would reset the connection, and the
+/// client could lose the response; so bytes that still arrive are read and discarded for a while.
 pub(crate) async fn close_gracefully<P: Platform>(
     platform: &P,
     stream: &mut P::Stream,
-    bulk: bool,
+    was_uploading: bool,
 ) -> io::Result<()> {
     stream.shutdown().await?;
-    let mut rest = [0; 16 * 1024];
-    // Danger: who is in the middle of a large body may read nothing before its end, and would lose the answer.
-    let (time, mut most) = (if bulk { 6000 } else { 200 }, MAX_STREAMED_BODY);
-    let patience = platform.now() + Duration::from_millis(time);
-    while most > 0 {
-        match platform.timeout_at(patience, stream.read(&mut rest)).await {
-            Ok(Ok(n @ 1..)) => most = most.saturating_sub(n),
+    let mut discarded = [0; 16 * 1024];
+    // A client in the middle of a large body may read nothing before the body's end, and would lose the
+    // response.
+    let (linger_ms, mut bytes_left) = (if was_uploading { 6000 } else { 200 }, MAX_STREAMED_BODY);
+    let deadline = platform.now() + Duration::from_millis(linger_ms);
+    while bytes_left > 0 {
+        match platform.timeout_at(deadline, stream.read(&mut discarded)).await {
+            Ok(Ok(n @ 1..)) => bytes_left = bytes_left.saturating_sub(n),
             _ => break,
         }
     }
     Ok(())
 }
 
-/// The answer to what can't be taken; its connection ends with it.
-pub(crate) fn error_response(machine: &mut Connection, status: Status) -> BytesMut {
-    machine.response_head(status, "", 0, true)
+/// The response to an invalid request; it closes the connection.
+pub(crate) fn error_response(connection: &mut Connection, status: Status) -> BytesMut {
+    connection.response_head(status, "", 0, true)
 }
--- a/crates/sidecar/src/http/client.rs
+++ b/crates/sidecar/src/http/client.rs
@@ -1,109 +1,118 @@
-//! The side of a connection towards a backend server or discovery: one request out, one answer in.
+//! The client side of a connection, towards an endpoint or discovery: one request is written, one response
+//! read.
 
 use super::message::{
-    Body, BodyPiece, Collected, Headers, MAX_BUFFERED_BODY, ParseError, READ_WINDOW, roomy, take_head,
+    Body, BodyPiece, Collected, Headers, MAX_BUFFERED_BODY, ParseError, READ_WINDOW, ensure_capacity,
+    take_head,
 };
 use super::server::Request;
 use bytes::{BufMut, Bytes, BytesMut};
 use std::time::Duration;
 
-/// A whole answer.
+/// A response.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its header lines.
+    /// The headers.
     pub headers: Headers,
-    /// Its body, or the beginning of it.
+    /// The body, or the beginning of it.
     pub body: Bytes,
-    /// The rest of the body is still to come.
+    /// Set if the rest of the body is still to come.
     pub streamed: Option<StreamedBody>,
 }
 
-/// What is known of a body that is not held whole.
+/// Description of a body that is not held completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StreamedBody {
-    /// Its length, if the head says so.
+    /// The length, if the head states it.
     pub length: Option<usize>,
 }
 
 impl Response {
-    /// The sender says that it has not run the request.
+    /// Returns whether the sender guarantees that it has not run the request.
     pub fn rejected(&self) -> bool {
         matches!(self.status, 503 | 504) && self.headers.lists("x-rejected", "1")
     }
 
-    /// The load report that came along.
+    /// The load report that came with the response.
     pub fn load_report(&self) -> Option<&Bytes> {
         self.headers.single("x-load-report").ok().flatten()
     }
 }
 
-/// Reads the answer to one request.
+/// Reads the response to one request.
 #[derive(Debug)]
 pub struct ResponseReader {
     buffer: BytesMut,
+    /// Number of bytes already searched for the end of a head.
     scanned: usize,
     head: Option<(u16, Headers, Body)>,
-    most: usize,
-    /// What is larger than this is handed out at its head.
-    hold: usize,
-    keep: bool,
-    /// The answer must say where it ends.
+    limit: usize,
+    /// Larger bodies are returned with their head, and follow in pieces.
+    max_buffered: usize,
+    keep_alive: bool,
+    /// The response must state where it ends.
     delimited: bool,
-    /// Interim answers that have come.
-    interim: usize,
+    /// Number of interim responses (1xx) received.
+    interim_count: usize,
 }
 
-/// So many interim answers may come before the one that counts.
+/// Maximum number of interim responses before the final one.
 const MAX_INTERIM: usize = 16;
 
 impl ResponseReader {
-    /// An exchange whose answer holds no more than `most` bytes of body.
-    pub fn new(most: usize) -> ResponseReader {
+    /// Creates a reader for a response with at most `limit` bytes of body.
+    pub fn new(limit: usize) -> ResponseReader {
         let buffer = BytesMut::with_capacity(1024);
         ResponseReader {
             buffer,
             scanned: 0,
             head: None,
-            most,
-            hold: most,
-            keep: false,
+            limit,
+            max_buffered: limit,
+            keep_alive: false,
             delimited: false,
-            interim: 0,
+            interim_count: 0,
         }
     }
 
-    /// The same for one that is passed on, as it comes where it is large. Danger: a body that goes on until its
-    /// connection ends looks whole wherever the sender broke off, so its head must say that the end was meant.
-    pub fn delimited(most: usize) -> ResponseReader {
-        ResponseReader { delimited: true, hold: MAX_BUFFERED_BODY.min(most), ..ResponseReader::new(most) }
+    /// Creates a reader for a response that is forwarded, and returned in pieces if it is large. A body that
+    /// ends with its connection looks complete wherever the sender broke off, so the head must announce that
+    /// end.
+    pub fn delimited(limit: usize) -> ResponseReader {
+        ResponseReader {
+            delimited: true,
+            max_buffered: MAX_BUFFERED_BODY.min(limit),
+            ..ResponseReader::new(limit)
+        }
     }
 
-    /// An exchange whose answer is handed out at its head; its body of no more than `most` bytes follows in pieces.
-    pub fn streamed(most: usize) -> ResponseReader {
-        ResponseReader { hold: 0, ..ResponseReader::new(most) }
+    /// Creates a reader that returns a response with its head; the body of at most `limit` bytes follows in
+    /// pieces.
+    pub fn streamed(limit: usize) -> ResponseReader {
+        ResponseReader { max_buffered: 0, ..ResponseReader::new(limit) }
     }
 
-    /// Part of the answer that counts has come.
+    /// Returns whether a part of the final response has arrived.
     pub fn has_begun(&self) -> bool {
         self.head.is_some() || !self.buffer.is_empty()
     }
 
-    /// The buffer that bytes are to be read into.
+    /// The buffer to read into.
     pub fn buffer(&mut self) -> &mut BytesMut {
-        let bulk = self
+        let is_large = self
             .head
             .as_ref()
             .is_some_and(|(.., body)| body.left().is_none_or(|left| left > MAX_BUFFERED_BODY));
-        roomy(&mut self.buffer, if bulk { READ_WINDOW } else { 4096 })
+        ensure_capacity(&mut self.buffer, if is_large { READ_WINDOW } else { 4096 })
     }
 
-    /// Looks at what has come. `ended`: no more bytes will come.
-    pub fn step(&mut self, ended: bool) -> Result<Option<Response>, ParseError> {
+    /// Parses the bytes received so far. `at_end`: no more bytes will come.
+    pub fn step(&mut self, at_end: bool) -> Result<Option<Response>, ParseError> {
         while self.head.is_none() {
-            // Noise need not hold the end of a head; what can't begin an answer is not waited for.
-            if !self.buffer.iter().zip(b"HTTP/1.").all(|(came, due)| came == due) {
+            // Bytes that can't begin a response are rejected at once; they need not contain the end of a head.
+            if !self.buffer.iter().zip(b"HTTP/1.").all(|(actual, expected)| actual == expected) {
                 return Err(ParseError::Malformed);
             }
             let Some((line, headers)) = take_head(&mut self.buffer, &mut self.scanned)? else {
@@ -114,30 +123,30 @@
             let status = status.filter(|s| rest[1] == b' ' && s.iter().all(u8::is_ascii_digit));
             let status =
                 status.ok_or(ParseError::Malformed)?.iter().fold(0, |n, d| n * 10 + u16::from(d - b'0'));
-            // Interim answers come before the one that counts.
+            // Interim responses come before the final one.
             if (100..200).contains(&status) {
-                self.interim += 1;
-                // Nobody asked for another protocol.
-                if status == 101 || self.interim > MAX_INTERIM {
+                self.interim_count += 1;
+                // The sidecar never asks for another protocol.
+                if status == 101 || self.interim_count > MAX_INTERIM {
                     return Err(ParseError::Malformed);
                 }
                 continue;
             }
-            let framed = Body::framed(&headers, self.most)?;
-            self.keep = rest[0] == b'1' && !headers.lists("connection", "close") && framed.is_some();
-            let body = match framed {
+            let framing = Body::from_headers(&headers, self.limit)?;
+            self.keep_alive = rest[0] == b'1' && !headers.lists("connection", "close") && framing.is_some();
+            let body = match framing {
                 _ if matches!(status, 204 | 304) => Body::none(),
                 Some(body) => body,
                 None if self.delimited && rest[0] == b'1' && !headers.lists("connection", "close") => {
                     return Err(ParseError::Malformed);
                 }
-                None => Body::until_end(self.most),
+                None => Body::until_end(self.limit),
             };
             self.head = Some((status, headers, body));
         }
         let Some((status, headers, body)) = &mut self.head else { return Ok(None) };
         let (status, length) = (*status, body.left());
-        match body.collect(&mut self.buffer, ended, self.hold)? {
+        match body.collect(&mut self.buffer, at_end, self.max_buffered)? {
             Collected::More => Ok(None),
             Collected::Whole(body) => {
                 Ok(self.head.take().map(|(_, headers, _)| Response { status, headers, body, streamed: None }))
@@ -149,24 +158,25 @@
         }
     }
 
-    /// Of an answer that is not held whole, the next piece.
-    pub fn next_piece(&mut self, ended: bool) -> Result<BodyPiece, ParseError> {
+    /// Returns the next piece of a response that is not held completely.
+    pub fn next_piece(&mut self, at_end: bool) -> Result<BodyPiece, ParseError> {
         let Some((_, _, body)) = &mut self.head else { return Ok(BodyPiece::End) };
-        let piece = body.next_piece(&mut self.buffer, ended)?;
+        let piece = body.next_piece(&mut self.buffer, at_end)?;
         if piece == BodyPiece::End {
             self.head = None;
         }
         Ok(piece)
     }
 
-    /// The connection may carry another request: the answer kept it open and nothing came after it.
+    /// Returns whether the connection can carry another request: the response kept it open and nothing came after
+    /// it.
     pub fn reusable(&self) -> bool {
-        self.keep && self.buffer.is_empty() && self.head.is_none()
+        self.keep_alive && self.buffer.is_empty() && self.head.is_none()
     }
 }
 
-/// Headers that concern one connection only, or that are written anew.
-const OWN: [&str; 10] = [
+/// Headers that concern a single connection, or that are written anew.
+const NOT_FORWARDED: [&str; 10] = [
     "connection",
     "keep-alive",
     "te",
@@ -179,7 +189,7 @@
     "x-budget",
 ];
 
-/// The request as it goes to a backend server that will be waited for so long.
+/// Encodes a request for an endpoint whose response is awaited for `wait`.
 pub fn encode_request(request: &Request, wait: Duration) -> Bytes {
     let mut out = head(request, wait);
     let length = request.body.len();
@@ -191,7 +201,7 @@
     out.freeze()
 }
 
-/// The same without its body, which follows: of this length or, where that is not known, in chunks.
+/// Encodes a request without its body, which follows: of this length or, if that is not known, in chunks.
 pub fn encode_request_head(request: &Request, wait: Duration, length: Option<usize>) -> Bytes {
     let mut out = head(request, wait);
     match length {
@@ -209,7 +219,8 @@
     out.put_slice(b" HTTP/1.1\r\n");
     for (name, value) in request.headers.iter() {
         let named = std::str::from_utf8(name).unwrap_or_default();
-        if OWN.iter().any(|own| own.eq_ignore_ascii_case(named)) || request.headers.lists("connection", named)
+        if NOT_FORWARDED.iter().any(|name| name.eq_ignore_ascii_case(named))
+            || request.headers.lists("connection", named)
         {
             continue;
         }
@@ -222,7 +233,7 @@
     out
 }
 
-/// A plain GET.
+/// Encodes a GET request.
 pub fn encode_get(target: &str, host: &str) -> Bytes {
     Bytes::from(format!("GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n"))
 }
--- a/crates/sidecar/src/http/message.rs
+++ b/crates/sidecar/src/http/message.rs
@@ -1,33 +1,33 @@
-//! What requests and answers have in common: a head, and a body framed by it.
+//! The common parts of requests and responses: a head, and a body framed by it.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest head that is read.
+/// Maximum size of a head.
 pub const MAX_HEAD: usize = 16 * 1024;
-/// The longest body that is held whole.
+/// Maximum size of a body that is held completely.
 pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
-/// The longest body that is passed on.
+/// Maximum size of a body that is forwarded while it arrives.
 pub const MAX_STREAMED_BODY: usize = 32 << 20;
-/// So much of a larger one is read at once.
+/// Buffer space reserved for reading a larger body.
 pub const READ_WINDOW: usize = 32 * 1024;
 
 /// Why a message can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ParseError {
-    /// It is not HTTP/1.1 or contradicts itself.
+    /// Not HTTP/1.1, or contradicts itself.
     Malformed,
-    /// Its head is too long.
+    /// The head is too long.
     HeadTooLong,
-    /// Its body is too long.
+    /// The body is too long.
     BodyTooLong,
 }
 
-/// The header lines of a message, as slices of the buffer that it was read into.
+/// The headers of a message, as slices of the buffer that it was read into.
 #[derive(Debug, Clone, Default)]
 pub struct Headers(Vec<(Bytes, Bytes)>);
 
 impl Headers {
-    /// All lines with their names and values.
+    /// All headers with their names and values.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         self.0.iter().map(|(name, value)| (&name[..], &value[..]))
     }
@@ -36,7 +36,7 @@
         self.0.iter().filter(move |h| h.0.eq_ignore_ascii_case(name.as_bytes())).map(|h| &h.1)
     }
 
-    /// The value of a header that may be there once; twice is a fault.
+    /// The value of a header that may occur once; an error if it occurs twice.
     pub fn single<'a>(&'a self, name: &'a str) -> Result<Option<&'a Bytes>, ParseError> {
         let mut all = self.all(name);
         match (all.next(), all.next()) {
@@ -45,23 +45,24 @@
         }
     }
 
-    /// Whether a header that is a list of words holds this one.
+    /// Returns whether a header that is a comma-separated list contains this word.
     pub fn lists(&self, name: &str, word: &str) -> bool {
         let words = self.all(name).flat_map(|value| value.split(|&b| b == b','));
         words.into_iter().any(|w| w.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
     }
 }
 
-/// Cuts a whole head off the buffer and returns its first line and its header lines.
+/// Takes a complete head off the buffer and returns its first line and its headers.
 pub(super) fn take_head(
     buffer: &mut BytesMut,
     scanned: &mut usize,
 ) -> Result<Option<(Bytes, Headers)>, ParseError> {
-    // Guards against empty lines sent after a body, which a reader is to pass over before a first line.
+    // Some senders put empty lines after a body; a reader has to skip them before a first line.
     while *scanned == 0 && buffer.starts_with(b"\r\n") {
         buffer.advance(2);
     }
-    // Danger: half of such a line, taken for the start of a head, would make it one that begins with nothing.
+    // Half of such an empty line must not be taken for the start of a head, whose first line would then be
+    // empty.
     if *scanned == 0 && buffer[..] == b"\r"[..] {
         return Ok(None);
     }
@@ -76,7 +77,7 @@
     }
     let mut head = buffer.split_to(end + 4).freeze();
     head.truncate(end);
-    // Danger: whoever reads the same bytes next may not take a bare line feed for the end of a line.
+    // A bare line feed is rejected: the next reader of the same bytes may not take it for the end of a line.
     if head.iter().enumerate().any(|(at, &b)| b == b'\n' && (at == 0 || head[at - 1] != b'\r')) {
         return Err(ParseError::Malformed);
     }
@@ -87,58 +88,58 @@
         let colon = line.iter().position(|&b| b == b':').ok_or(ParseError::Malformed)?;
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         let token = |b: &u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(b);
-        if name.is_empty() || !name.iter().all(token) || !value.iter().all(plain) {
+        if name.is_empty() || !name.iter().all(token) || !value.iter().all(is_field_byte) {
             return Err(ParseError::Malformed);
         }
-        // An empty slice may lie outside the buffer as far as `slice_ref` is concerned.
+        // `slice_ref` rejects an empty slice that does not lie within the buffer.
         let value = if value.is_empty() { Bytes::new() } else { head.slice_ref(value) };
         headers.push((head.slice_ref(name), value));
     }
-    if first.is_empty() || !first.iter().all(plain) {
+    if first.is_empty() || !first.iter().all(is_field_byte) {
         return Err(ParseError::Malformed);
     }
     Ok(Some((head.slice_ref(first), Headers(headers))))
 }
 
-/// Makes room for the next read. Left to itself, a full buffer grows by a few bytes at a time.
-pub(super) fn roomy(buffer: &mut BytesMut, window: usize) -> &mut BytesMut {
+/// Reserves space for the next read. By itself, a full buffer would grow by a few bytes at a time.
+pub(super) fn ensure_capacity(buffer: &mut BytesMut, window: usize) -> &mut BytesMut {
     if buffer.capacity() - buffer.len() < 512 {
         buffer.reserve(window);
     }
     buffer
 }
 
-fn plain(b: &u8) -> bool {
+fn is_field_byte(b: &u8) -> bool {
     *b == b'\t' || (*b >= 0x20 && *b != 0x7f)
 }
 
-/// What has come of a body.
+/// A part of a body that is being read.
 #[derive(Debug, PartialEq, Eq)]
 pub enum BodyPiece {
-    /// Some of it.
+    /// The next bytes.
     Bytes(Bytes),
-    /// Nothing until more is read.
+    /// More input is needed.
     More,
-    /// Its end.
+    /// The end of the body.
     End,
 }
 
-/// What has come of a body that may be wanted whole.
+/// A body that is held completely, if it is small enough.
 #[derive(Debug)]
 pub(super) enum Collected {
     More,
     Whole(Bytes),
-    /// It is larger than what is held; this much of it has been taken off the buffer.
+    /// The body is larger than may be held; these bytes of it have been taken off the buffer.
     Large(Bytes),
 }
 
 #[derive(Debug)]
 enum Framing {
-    /// So many bytes are still to come.
+    /// Number of bytes still to come.
     Length(usize),
-    /// Chunks, of which so many bytes of the current one are left.
-    Chunked { left: usize, within: bool, trailer: bool },
-    /// All until the connection ends.
+    /// Chunks, with the number of bytes left of the current one.
+    Chunked { left: usize, in_chunk: bool, trailer: bool },
+    /// The body ends with the connection.
     UntilEnd,
 }
 
@@ -146,53 +147,54 @@
 #[derive(Debug)]
 pub(super) struct Body {
     framing: Framing,
-    room: usize,
-    /// Bytes of lines between chunks and behind them that may still come without any of the body.
-    lines: usize,
-    held: BytesMut,
+    body_bytes_left: usize,
+    /// Bytes that chunk size lines and trailers may still take up before more of the body arrives.
+    line_bytes_left: usize,
+    buffered: BytesMut,
 }
 
-/// Lines of chunk sizes and trailers may hold so many bytes between them.
-const MAX_LINES: usize = 8 * 1024;
+/// Maximum number of bytes of chunk size lines and trailers without body bytes between them.
+const MAX_LINE_BYTES: usize = 8 * 1024;
 
 impl Body {
-    fn new(framing: Framing, room: usize) -> Body {
-        Body { framing, room, lines: MAX_LINES, held: BytesMut::new() }
+    fn new(framing: Framing, body_bytes_left: usize) -> Body {
+        Body { framing, body_bytes_left, line_bytes_left: MAX_LINE_BYTES, buffered: BytesMut::new() }
     }
 
-    /// No body.
+    /// An empty body.
     pub(super) fn none() -> Body {
         Body::new(Framing::Length(0), 0)
     }
 
-    /// A body that its connection's end ends.
-    pub(super) fn until_end(most: usize) -> Body {
-        Body::new(Framing::UntilEnd, most)
+    /// A body that ends with its connection.
+    pub(super) fn until_end(limit: usize) -> Body {
+        Body::new(Framing::UntilEnd, limit)
     }
 
-    /// What the head says of the body; `None` where it says nothing.
-    pub(super) fn framed(headers: &Headers, most: usize) -> Result<Option<Body>, ParseError> {
+    /// The body as described by the headers; `None` if they say nothing about it.
+    pub(super) fn from_headers(headers: &Headers, limit: usize) -> Result<Option<Body>, ParseError> {
         let length = headers.single("content-length")?;
         if let Some(coding) = headers.single("transfer-encoding")? {
-            // Danger: two framings that disagree let one message hide within another.
+            // Two framings that disagree would allow one message to be hidden within another (request
+            // smuggling).
             if length.is_some() || !coding.eq_ignore_ascii_case(b"chunked") {
                 return Err(ParseError::Malformed);
             }
-            let framing = Framing::Chunked { left: 0, within: false, trailer: false };
-            return Ok(Some(Body::new(framing, most)));
+            let framing = Framing::Chunked { left: 0, in_chunk: false, trailer: false };
+            return Ok(Some(Body::new(framing, limit)));
         }
         let Some(length) = length else { return Ok(None) };
         if length.is_empty() || !length.iter().all(u8::is_ascii_digit) {
             return Err(ParseError::Malformed);
         }
-        // A number that does not fit is a body that is too long, whatever it is exactly.
+        // A number that does not fit into the type stands for a body that is too long in any case.
         match std::str::from_utf8(length).ok().and_then(|l| l.parse::<usize>().ok()) {
-            Some(length) if length <= most => Ok(Some(Body::new(Framing::Length(length), most))),
+            Some(length) if length <= limit => Ok(Some(Body::new(Framing::Length(length), limit))),
             _ => Err(ParseError::BodyTooLong),
         }
     }
 
-    /// What is still to come, where that is known.
+    /// Number of bytes still to come, if that is known.
     pub(super) fn left(&self) -> Option<usize> {
         match self.framing {
             Framing::Length(left) => Some(left),
@@ -200,43 +202,49 @@
         }
     }
 
-    /// Takes the body off the buffer once it is whole, or what there is of it once it is known to be larger than `hold`.
+    /// Takes the body off the buffer once it is complete, or the bytes received once it is known to be larger
+    /// than `max_buffered`.
     pub(super) fn collect(
         &mut self,
         buffer: &mut BytesMut,
-        ended: bool,
-        hold: usize,
+        at_end: bool,
+        max_buffered: usize,
     ) -> Result<Collected, ParseError> {
-        // A body of known length lies in the buffer until it is whole, and is cut off it without a copy.
+        // A body of known length stays in the buffer until it is complete, and is then split off without a
+        // copy.
         if let Framing::Length(left) = self.framing {
             return Ok(match left {
-                _ if left > hold => Collected::Large(Bytes::new()),
+                _ if left > max_buffered => Collected::Large(Bytes::new()),
                 _ if buffer.len() < left => Collected::More,
                 _ => Collected::Whole(buffer.split_to(left).freeze()),
             });
         }
         loop {
-            match self.next_piece(buffer, ended)? {
-                BodyPiece::Bytes(piece) => self.held.extend_from_slice(&piece),
+            match self.next_piece(buffer, at_end)? {
+                BodyPiece::Bytes(piece) => self.buffered.extend_from_slice(&piece),
                 BodyPiece::More => return Ok(Collected::More),
-                BodyPiece::End => return Ok(Collected::Whole(self.held.split().freeze())),
+                BodyPiece::End => return Ok(Collected::Whole(self.buffered.split().freeze())),
             }
-            if self.held.len() > hold {
-                return Ok(Collected::Large(std::mem::take(&mut self.held).freeze()));
+            if self.buffered.len() > max_buffered {
+                return Ok(Collected::Large(std::mem::take(&mut self.buffered).freeze()));
             }
         }
     }
 
-    /// Takes the next piece off the buffer. `ended`: no more bytes will come.
-    pub(super) fn next_piece(&mut self, buffer: &mut BytesMut, ended: bool) -> Result<BodyPiece, ParseError> {
+    /// Takes the next piece off the buffer. `at_end`: no more bytes will come.
+    pub(super) fn next_piece(
+        &mut self,
+        buffer: &mut BytesMut,
+        at_end: bool,
+    ) -> Result<BodyPiece, ParseError> {
         loop {
-            let most = match &mut self.framing {
+            let limit = match &mut self.framing {
                 Framing::Length(0) => return Ok(BodyPiece::End),
                 Framing::Length(left) => *left,
-                Framing::UntilEnd if buffer.is_empty() && ended => return Ok(BodyPiece::End),
+                Framing::UntilEnd if buffer.is_empty() && at_end => return Ok(BodyPiece::End),
                 Framing::UntilEnd => usize::MAX,
-                Framing::Chunked { left: 0, within, trailer } => {
-                    if *within {
+                Framing::Chunked { left: 0, in_chunk, trailer } => {
+                    if *in_chunk {
                         if buffer.len() < 2 {
                             return Ok(BodyPiece::More);
                         }
@@ -244,7 +252,7 @@
                             return Err(ParseError::Malformed);
                         }
                         buffer.advance(2);
-                        *within = false;
+                        *in_chunk = false;
                     }
                     let Some(end) = buffer.windows(2).position(|w| w == b"\r\n") else {
                         return if buffer.len() > 1024 {
@@ -255,8 +263,10 @@
                     };
                     let line = buffer.split_to(end + 2);
                     let line = &line[..end];
-                    // Danger: lines that never come to an end would be read for ever.
-                    self.lines = self.lines.checked_sub(end + 2).ok_or(ParseError::Malformed)?;
+                    // Without this limit, a sender could keep the reader busy forever with lines that carry no
+                    // body.
+                    self.line_bytes_left =
+                        self.line_bytes_left.checked_sub(end + 2).ok_or(ParseError::Malformed)?;
                     if *trailer {
                         if line.is_empty() {
                             self.framing = Framing::Length(0);
@@ -268,25 +278,26 @@
                     let size =
                         std::str::from_utf8(size).ok().filter(|_| digits).ok_or(ParseError::Malformed)?;
                     let size = usize::from_str_radix(size, 16).map_err(|_| ParseError::BodyTooLong)?;
-                    if size > self.room {
+                    if size > self.body_bytes_left {
                         return Err(ParseError::BodyTooLong);
                     }
-                    self.framing = Framing::Chunked { left: size, within: size > 0, trailer: size == 0 };
+                    self.framing = Framing::Chunked { left: size, in_chunk: size > 0, trailer: size == 0 };
                     continue;
                 }
                 Framing::Chunked { left, .. } => *left,
             };
-            let came = most.min(buffer.len());
-            if came == 0 {
+            let received = limit.min(buffer.len());
+            if received == 0 {
                 return Ok(BodyPiece::More);
             }
-            self.room = self.room.checked_sub(came).ok_or(ParseError::BodyTooLong)?;
-            // Body buys lines: small chunks are slow, but they end.
-            self.lines = (self.lines + came.saturating_mul(16)).min(MAX_LINES);
+            self.body_bytes_left =
+                self.body_bytes_left.checked_sub(received).ok_or(ParseError::BodyTooLong)?;
+            // Body bytes extend the limit on line bytes: a body in small chunks is slow to read, but it ends.
+            self.line_bytes_left = (self.line_bytes_left + received.saturating_mul(16)).min(MAX_LINE_BYTES);
             if let Framing::Length(left) | Framing::Chunked { left, .. } = &mut self.framing {
-                *left -= came;
+                *left -= received;
             }
-            return Ok(BodyPiece::Bytes(buffer.split_to(came).freeze()));
+            return Ok(BodyPiece::Bytes(buffer.split_to(received).freeze()));
         }
     }
 }
--- a/crates/sidecar/src/http/mod.rs
+++ b/crates/sidecar/src/http/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 as state machines that are fed bytes and know no socket; nothing else here knows HTTP.
+//! HTTP/1.1 as state machines that are fed bytes and know no sockets; no other module parses HTTP.
 //!
-//! [`server`] is the frontend's side of a connection, [`client`] the side towards backend servers and
-//! discovery. What they hand out are slices of the buffer that was read into.
+//! [`server`] is the side towards clients, [`client`] the side towards endpoints and discovery. What they
+//! return are slices of the buffer that was read into.
 
 pub mod client;
 mod message;
--- a/crates/sidecar/src/http/server.rs
+++ b/crates/sidecar/src/http/server.rs
@@ -1,25 +1,25 @@
-//! The frontend's side of a connection: requests come in, one answer to each goes out.
+//! The server side of a client connection: requests come in, and each gets one response.
 
 use super::message::{
     Body, BodyPiece, Collected, Headers, MAX_BUFFERED_BODY, MAX_STREAMED_BODY, ParseError, READ_WINDOW,
-    roomy, take_head,
+    ensure_capacity, take_head,
 };
 use bytes::{BufMut, Bytes, BytesMut};
 use std::time::Duration;
 
-/// The header that holds a request's id.
+/// Header with a request's id.
 pub const CALL_ID: &str = "x-call-id";
 
-/// A request, whole.
+/// A request.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Its method.
+    /// The method.
     pub method: Bytes,
-    /// Its path and query, as they came.
+    /// The path and query as received.
     pub target: Bytes,
-    /// Its header lines.
+    /// The headers.
     pub headers: Headers,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
@@ -29,18 +29,18 @@
         self.target.split(|&b| b == b'?').next().unwrap_or_default()
     }
 
-    /// The request's class by name: the first part of its path.
+    /// Name of the request's class: the first segment of the path.
     pub fn class_name(&self) -> &[u8] {
         self.path().split(|&b| b == b'/').nth(1).unwrap_or_default()
     }
 
-    /// Its id as it came, if it has one that can be read.
+    /// The request's id as received, if it is present once and valid UTF-8.
     pub fn id(&self) -> Option<&str> {
         let id = self.headers.single(CALL_ID).ok()??;
         std::str::from_utf8(id).ok()
     }
 
-    /// The time that the client waits, from the moment it sent the request.
+    /// Time that the client waits for the response, counted from when it sent the request.
     pub fn time_budget(&self) -> Result<Duration, ParseError> {
         let value = self.headers.single("x-budget")?.ok_or(ParseError::Malformed)?;
         let text = std::str::from_utf8(value).map_err(|_| ParseError::Malformed)?;
@@ -51,7 +51,7 @@
             "u" => 1e-6,
             _ => return Err(ParseError::Malformed),
         };
-        // Danger: a float's grammar also takes signs, exponents and 'inf'.
+        // The grammar of a float would also permit signs, exponents and 'inf'.
         if !number.bytes().all(|b| b.is_ascii_digit() || b == b'.') {
             return Err(ParseError::Malformed);
         }
@@ -63,23 +63,23 @@
     }
 }
 
-/// What a connection has for its driver.
+/// The next step for the driver of a connection.
 #[derive(Debug)]
 pub enum Step {
-    /// Nothing until more bytes come.
+    /// More bytes are needed.
     More,
-    /// A request that is owed an answer before the next one is looked at.
+    /// A request, to be responded to before the next one is parsed.
     Request(Request),
-    /// A request with a body that is not held whole: this much has come, and its length if it is known. The rest comes
-    /// from [`Connection::piece`].
+    /// A request with a body that is not held completely: the bytes received so far, and the body's length if
+    /// it is known. The rest comes from [`Connection::next_piece`].
     Upload(Request, Option<usize>),
-    /// The client waits for leave to send its body: these bytes give it.
+    /// The client waits for permission to send its body; these bytes grant it.
     Continue(&'static [u8]),
-    /// What came can't be a request: it is to be answered so, and the connection closed.
+    /// The bytes received are no valid request: respond with this status and close the connection.
     Reject(Status),
 }
 
-/// How a request is answered.
+/// Status of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Status {
@@ -115,8 +115,8 @@
 }
 
 impl From<ParseError> for Status {
-    fn from(fault: ParseError) -> Status {
-        match fault {
+    fn from(error: ParseError) -> Status {
+        match error {
             ParseError::Malformed => Status::BadRequest,
             ParseError::HeadTooLong => Status::HeadTooLarge,
             ParseError::BodyTooLong => Status::TooLarge,
@@ -128,27 +128,30 @@
 enum Phase {
     Head,
     Body(Box<(Request, Body)>),
-    /// A request has been handed out and its body is still coming.
+    /// A request has been returned and its body is still arriving.
     Upload(Body),
-    /// A request has been handed out and is owed an answer.
-    Owed,
+    /// A request has been returned and waits for its response.
+    AwaitingResponse,
     Closed,
 }
 
-/// One client connection.
+/// A client connection.
 #[derive(Debug)]
 pub struct Connection {
     buffer: BytesMut,
+    /// Number of bytes already searched for the end of a head.
     scanned: usize,
     phase: Phase,
-    keep: bool,
-    /// The request at hand is HTTP/1.0, whose sender knows no chunks.
-    old: bool,
-    cut: bool,
-    scratch: BytesMut,
-    spilt: usize,
-    /// Something that came was not kept.
-    cut_off: bool,
+    keep_alive: bool,
+    /// The current request is HTTP/1.0, whose clients don't know chunked encoding.
+    is_http10: bool,
+    /// The body of the last request was still arriving when its response was sent.
+    upload_cut: bool,
+    overflow: BytesMut,
+    /// Number of bytes discarded so far.
+    overflow_bytes: usize,
+    /// Bytes received on this connection have been discarded.
+    has_overflow: bool,
 }
 
 impl Default for Connection {
@@ -157,75 +160,76 @@
             buffer: BytesMut::new(),
             scanned: 0,
             phase: Phase::Head,
-            keep: true,
-            old: false,
-            cut: false,
-            scratch: BytesMut::new(),
-            spilt: 0,
-            cut_off: false,
+            keep_alive: true,
+            is_http10: false,
+            upload_cut: false,
+            overflow: BytesMut::new(),
+            overflow_bytes: 0,
+            has_overflow: false,
         }
     }
 }
 
 impl Connection {
-    /// The buffer that bytes are to be read into.
+    /// The buffer to read into.
     pub fn buffer(&mut self) -> &mut BytesMut {
-        let bulk = matches!(self.phase, Phase::Upload(_));
-        roomy(&mut self.buffer, if bulk { READ_WINDOW } else { 4096 })
+        let is_upload = matches!(self.phase, Phase::Upload(_));
+        ensure_capacity(&mut self.buffer, if is_upload { READ_WINDOW } else { 4096 })
     }
 
-    /// Nothing of a request has come yet.
+    /// Returns whether nothing of a request has arrived.
     pub fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Head) && self.buffer.is_empty()
     }
 
-    /// A head has come, and its body is not whole.
+    /// Returns whether a head has arrived whose body is not complete.
     pub fn is_reading_body(&self) -> bool {
         matches!(self.phase, Phase::Body(_))
     }
 
-    /// Bytes lie unread that belong to a later request.
+    /// Returns whether bytes of a later request are buffered.
     pub fn has_pipelined(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The body of a request was still coming when it was answered.
+    /// Returns whether the body of a request was still arriving when the response was sent.
     pub fn upload_cut_short(&self) -> bool {
-        self.cut
+        self.upload_cut
     }
 
-    /// No further request is taken.
+    /// Returns whether no further request is accepted.
     pub fn is_closed(&self) -> bool {
         matches!(self.phase, Phase::Closed)
     }
 
-    /// So much lies unread that what comes is not kept until the request at hand is answered.
+    /// Returns whether the buffer for later requests is full, so that further bytes are discarded until the
+    /// current request has its response.
     pub fn is_full(&self) -> bool {
         self.buffer.len() >= MAX_BUFFERED_BODY
     }
 
-    /// The buffer for what comes beyond that. It is read for the end that may lie behind it and thrown away, and the
-    /// connection ends with the answer, as it has a hole now.
+    /// The buffer for bytes that arrive while [`Connection::is_full`]. They are read to detect the client's end
+    /// of the connection and then discarded, so the connection is closed with the response.
     pub fn overflow_buffer(&mut self) -> &mut BytesMut {
-        self.spilt += self.scratch.len();
-        self.cut_off = true;
-        self.scratch.clear();
-        roomy(&mut self.scratch, READ_WINDOW)
+        self.overflow_bytes += self.overflow.len();
+        self.has_overflow = true;
+        self.overflow.clear();
+        ensure_capacity(&mut self.overflow, READ_WINDOW)
     }
 
-    /// More has been thrown away than any message holds.
+    /// Returns whether more bytes have been discarded than any message can contain.
     pub fn has_overflowed(&self) -> bool {
-        self.spilt > MAX_STREAMED_BODY
+        self.overflow_bytes > MAX_STREAMED_BODY
     }
 
-    /// Looks at what has come.
+    /// Parses the bytes received so far.
     pub fn step(&mut self) -> Step {
         match self.try_step() {
             Ok(step) => step,
-            Err(fault) => {
+            Err(error) => {
                 self.phase = Phase::Closed;
-                self.keep = false;
-                Step::Reject(fault.into())
+                self.keep_alive = false;
+                Step::Reject(error.into())
             }
         }
     }
@@ -235,29 +239,29 @@
             let Some((line, headers)) = take_head(&mut self.buffer, &mut self.scanned)? else {
                 return Ok(Step::More);
             };
-            let mut words = line.split(|&b| b == b' ');
-            let (method, target, version) = match (words.next(), words.next(), words.next(), words.next()) {
+            let mut parts = line.split(|&b| b == b' ');
+            let (method, target, version) = match (parts.next(), parts.next(), parts.next(), parts.next()) {
                 (Some(m), Some(t), Some(v), None) if !m.is_empty() => (m, t, v),
                 _ => return Err(ParseError::Malformed),
             };
             if !method.iter().all(u8::is_ascii_uppercase) || !target.iter().all(u8::is_ascii_graphic) {
                 return Err(ParseError::Malformed);
             }
-            let target = origin(target).ok_or(ParseError::Malformed)?;
-            let lasting = match version {
+            let target = origin_form(target).ok_or(ParseError::Malformed)?;
+            let persistent = match version {
                 b"HTTP/1.1" => true,
                 b"HTTP/1.0" => headers.lists("connection", "keep-alive"),
                 _ => return Err(ParseError::Malformed),
             };
-            self.old = version == b"HTTP/1.0";
-            self.keep = lasting && !headers.lists("connection", "close");
-            let body = Body::framed(&headers, MAX_STREAMED_BODY)?.unwrap_or(Body::none());
-            let waits = headers.lists("expect", "100-continue") && self.buffer.is_empty();
+            self.is_http10 = version == b"HTTP/1.0";
+            self.keep_alive = persistent && !headers.lists("connection", "close");
+            let body = Body::from_headers(&headers, MAX_STREAMED_BODY)?.unwrap_or(Body::none());
+            let expects_continue = headers.lists("expect", "100-continue") && self.buffer.is_empty();
             let method = line.slice_ref(method);
             let target = if target == b"/" { Bytes::from_static(b"/") } else { line.slice_ref(target) };
             let request = Request { method, target, headers, body: Bytes::new() };
             self.phase = Phase::Body(Box::new((request, body)));
-            if waits {
+            if expects_continue {
                 return Ok(Step::Continue(b"HTTP/1.1 100 Continue\r\n\r\n"));
             }
         }
@@ -266,7 +270,8 @@
                 Collected::More => return Ok(Step::More),
                 Collected::Whole(body) => body,
                 Collected::Large(first) => {
-                    let Phase::Body(part) = std::mem::replace(&mut self.phase, Phase::Owed) else {
+                    let Phase::Body(part) = std::mem::replace(&mut self.phase, Phase::AwaitingResponse)
+                    else {
                         return Ok(Step::More);
                     };
                     let (request, body) = *part;
@@ -275,7 +280,7 @@
                     return Ok(Step::Upload(Request { body: first, ..request }, length));
                 }
             };
-            let Phase::Body(part) = std::mem::replace(&mut self.phase, Phase::Owed) else {
+            let Phase::Body(part) = std::mem::replace(&mut self.phase, Phase::AwaitingResponse) else {
                 return Ok(Step::More);
             };
             return Ok(Step::Request(Request { body, ..part.0 }));
@@ -283,43 +288,44 @@
         Ok(Step::More)
     }
 
-    /// Of a request whose body is not held whole, the next piece.
+    /// Returns the next piece of a request's body that is not held completely.
     pub fn next_piece(&mut self) -> Result<BodyPiece, Status> {
         let Phase::Upload(body) = &mut self.phase else { return Ok(BodyPiece::End) };
         match body.next_piece(&mut self.buffer, false) {
             Ok(BodyPiece::End) => {
-                self.phase = Phase::Owed;
+                self.phase = Phase::AwaitingResponse;
                 Ok(BodyPiece::End)
             }
             Ok(piece) => Ok(piece),
-            Err(fault) => {
+            Err(error) => {
                 self.phase = Phase::Closed;
-                self.keep = false;
-                Err(fault.into())
+                self.keep_alive = false;
+                Err(error.into())
             }
         }
     }
 
-    /// The head of the answer that is owed; `close` ends the connection with it.
+    /// The head of the response to the current request; `close` ends the connection with it.
     pub fn response_head(&mut self, status: Status, extra: &str, length: usize, close: bool) -> BytesMut {
-        let closing = self.conclude(close);
+        let connection_header = self.finish_request(close);
         let mut head = BytesMut::with_capacity(160 + length);
         let line = status.line();
         head.put_slice(
-            format!("HTTP/1.1 {line}\r\n{extra}{closing}Content-Length: {length}\r\n\r\n").as_bytes(),
+            format!("HTTP/1.1 {line}\r\n{extra}{connection_header}Content-Length: {length}\r\n\r\n")
+                .as_bytes(),
         );
         head
     }
 
-    /// The request at hand is answered; what its answer says of the connection.
-    fn conclude(&mut self, close: bool) -> &'static str {
-        self.cut = matches!(self.phase, Phase::Upload(_));
-        self.keep &= !close && !self.cut_off && matches!(self.phase, Phase::Owed);
-        self.phase = if self.keep { Phase::Head } else { Phase::Closed };
-        if self.keep { "" } else { "Connection: close\r\n" }
+    /// Ends the current request; returns the header that tells the client whether the connection stays open.
+    fn finish_request(&mut self, close: bool) -> &'static str {
+        self.upload_cut = matches!(self.phase, Phase::Upload(_));
+        self.keep_alive &= !close && !self.has_overflow && matches!(self.phase, Phase::AwaitingResponse);
+        self.phase = if self.keep_alive { Phase::Head } else { Phase::Closed };
+        if self.keep_alive { "" } else { "Connection: close\r\n" }
     }
 
-    /// The head of an answer whose body is passed on as it comes, and how that is framed.
+    /// The head of a response whose body is forwarded as it arrives, and the coding of that body.
     pub fn streamed_response_head(
         &mut self,
         extra: &str,
@@ -328,52 +334,52 @@
     ) -> (Bytes, BodyCoding) {
         let coding = match length {
             Some(_) => BodyCoding::Plain,
-            None if self.old => BodyCoding::UntilEnd,
+            None if self.is_http10 => BodyCoding::UntilEnd,
             None => BodyCoding::Chunked,
         };
-        let closing = self.conclude(close || coding == BodyCoding::UntilEnd);
+        let connection_header = self.finish_request(close || coding == BodyCoding::UntilEnd);
         let framing = match length {
             Some(length) => format!("Content-Length: {length}\r\n"),
             None if coding == BodyCoding::Chunked => "Transfer-Encoding: chunked\r\n".to_owned(),
             None => String::new(),
         };
-        (Bytes::from(format!("HTTP/1.1 200 OK\r\n{extra}{closing}{framing}\r\n")), coding)
+        (Bytes::from(format!("HTTP/1.1 200 OK\r\n{extra}{connection_header}{framing}\r\n")), coding)
     }
 }
 
-/// How a body that is passed on as it comes is framed.
+/// How a forwarded body is delimited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyCoding {
-    /// Its length is known.
+    /// The length is known from the head.
     Plain,
-    /// In chunks.
+    /// Chunked transfer coding.
     Chunked,
-    /// Its connection's end ends it.
+    /// The body ends with the connection.
     UntilEnd,
 }
 
 impl BodyCoding {
-    /// A piece with what goes round it.
+    /// Encodes a piece of the body.
     pub fn frame(self, piece: &Bytes) -> Bytes {
-        // An empty chunk would be the end mark.
+        // An empty chunk would mark the end of the body.
         if self != BodyCoding::Chunked || piece.is_empty() {
             return piece.clone();
         }
-        let mut framed = BytesMut::with_capacity(piece.len() + 16);
-        framed.put_slice(format!("{:x}\r\n", piece.len()).as_bytes());
-        framed.put_slice(piece);
-        framed.put_slice(b"\r\n");
-        framed.freeze()
+        let mut chunk = BytesMut::with_capacity(piece.len() + 16);
+        chunk.put_slice(format!("{:x}\r\n", piece.len()).as_bytes());
+        chunk.put_slice(piece);
+        chunk.put_slice(b"\r\n");
+        chunk.freeze()
     }
 
-    /// What goes behind the last piece.
+    /// The bytes that follow the last piece.
     pub fn end(self) -> &'static [u8] {
         if self == BodyCoding::Chunked { b"0\r\n\r\n" } else { b"" }
     }
 }
 
-/// The path and query of a target, which may come with scheme and host before them.
-fn origin(target: &[u8]) -> Option<&[u8]> {
+/// The path and query of a request target, which may be in absolute form with scheme and host.
+fn origin_form(target: &[u8]) -> Option<&[u8]> {
     if target.starts_with(b"/") {
         return Some(target);
     }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,5 +1,5 @@
-//! One sidecar round the decision module. Modules follow the stages of a request: [`frontend`], [`session`],
-//! [`dispatch`], [`exchange`], [`backend`]; beside it run [`discovery`], which fills the [`directory`], and [`probe`].
+//! One sidecar round the decision module. Modules follow the stages of a request: [`frontend`], [`requests`],
+//! [`attempt`], [`exchange`], [`pool`]; beside it run [`discovery`], which fills the [`directory`], and [`probe`].
 //! Sockets, clock and tasks come from a [`Platform`](cometcroft_platform::Platform).
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers: opened as needed, kept while idle, one request at a time on each.
+//! Connections to endpoints: opened on demand, kept while idle, with one request at a time on each.
 
 use crate::counters::{Counters, count};
 use crate::dial::{self, AttemptDelay};
@@ -13,20 +13,21 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A connection is used again this long after its last answer at the earliest. Danger: some answers bring a
-/// second copy right behind, which would pass for the answer to the next request if that were written between.
-const SETTLE: Duration = Duration::from_millis(5);
+/// Minimum time between a response and the next request on a connection. Some endpoints send a second copy of a
+/// response right after it, which would be taken for the response to the next request if that was written in
+/// between.
+const MIN_REST: Duration = Duration::from_millis(5);
 
-/// A connection that is in use; it counts against the limit until it is dropped or put back.
+/// A connection in use. It counts against the pool's limit until it is dropped or put back.
 pub struct PooledConnection<P: Platform> {
-    /// The connection.
+    /// The connection's stream.
     pub stream: P::Stream,
     address: SocketAddr,
     _slot: PoolSlot<P>,
 }
 
 impl<P: Platform> PooledConnection<P> {
-    /// Where the connection leads.
+    /// The endpoint's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -39,23 +40,24 @@
     since: Instant,
 }
 
-/// All connections to backend servers.
+/// All connections to endpoints.
 pub struct ConnectionPool<P: Platform> {
     platform: P,
     idle: RefCell<BTreeMap<EndpointId, Vec<Idle<P::Stream>>>>,
-    taken: Cell<usize>,
-    most: usize,
-    keep: Cell<Duration>,
+    in_use: Cell<usize>,
+    max_connections: usize,
+    max_idle: Cell<Duration>,
     attempt_delay: AttemptDelay,
     counters: Rc<Counters>,
     fleet: Option<Rc<Fleet<P>>>,
 }
 
 impl<P: Platform> ConnectionPool<P> {
-    /// A pool of at most `most` connections, to machines that close what stands idle for `idle`.
+    /// Creates a pool of at most `max_connections` connections to endpoints that close connections after `idle`
+    /// without a request.
     pub fn new(
         platform: P,
-        most: usize,
+        max_connections: usize,
         [idle, connect_timeout]: [Duration; 2],
         counters: Rc<Counters>,
         fleet: Option<Rc<Fleet<P>>>,
@@ -63,22 +65,22 @@
         Rc::new(ConnectionPool {
             platform,
             idle: RefCell::default(),
-            taken: Cell::new(0),
-            most,
-            keep: Cell::new(kept(idle)),
+            in_use: Cell::new(0),
+            max_connections,
+            max_idle: Cell::new(usable_idle_time(idle)),
             attempt_delay: AttemptDelay::new(connect_timeout),
             counters,
             fleet,
         })
     }
 
-    /// New settings.
+    /// Puts new settings in force.
     pub fn apply_settings(&self, idle: Duration, connect_timeout: Duration) {
-        self.keep.set(kept(idle));
+        self.max_idle.set(usable_idle_time(idle));
         self.attempt_delay.set_connect_timeout(connect_timeout);
     }
 
-    /// A connection to a backend server: the one used last, if any is sound, or a new one.
+    /// Returns a connection to an endpoint: the most recently used idle one that is still usable, or a new one.
     pub async fn get(
         self: &Rc<Self>,
         to: EndpointId,
@@ -89,15 +91,15 @@
             count(&self.counters.backend_reused);
             return Ok(PooledConnection { stream, address, _slot: PoolSlot::take(self) });
         }
-        if !self.has_room() && !self.evict() {
+        if !self.has_room() && !self.close_longest_idle() {
             return Err(io::Error::other("too many connections"));
         }
-        // The place is taken before the wait, or many waiting at once would pass the limit.
+        // The slot is taken before the wait; otherwise many that wait at once would exceed the limit.
         let slot = PoolSlot::take(self);
         self.await_budget(until).await?;
         let until = until.min(self.platform.now() + self.attempt_delay.connect_timeout());
         let first = self.clone().connect(address, slot);
-        // Only the first attempt may close idle connections to make room for itself.
+        // Only the first attempt to connect may close idle connections to make room.
         let further = || {
             self.has_room().then(|| {
                 let (pool, slot) = (self.clone(), PoolSlot::take(self));
@@ -110,8 +112,8 @@
         dial::race(&self.platform, until, self.attempt_delay.get(), first, further).await
     }
 
-    /// Waits until the fleet's budget has room for a connection. Danger: a fleet that reconnects all at once would bring
-    /// down what it reconnects to.
+    /// Waits until the fleet's budget permits a new connection. If a whole fleet reconnected at once, it would
+    /// overload the endpoints.
     async fn await_budget(&self, until: Instant) -> io::Result<()> {
         match &self.fleet {
             Some(fleet) if !fleet.connects(until).await => {
@@ -122,32 +124,35 @@
         }
     }
 
-    /// One attempt at a new connection; the caller bounds it.
+    /// Attempts to open a connection, without a time limit of its own.
     async fn connect(
         self: Rc<Self>,
         address: SocketAddr,
         slot: PoolSlot<P>,
     ) -> io::Result<PooledConnection<P>> {
-        let began = self.platform.now();
+        let started = self.platform.now();
         let stream = self.platform.connect(address).await?;
-        self.attempt_delay.learn(self.platform.since(began));
+        self.attempt_delay.learn(self.platform.since(started));
         send_promptly(&stream);
         count(&self.counters.backend_connections);
         Ok(PooledConnection { stream, address, _slot: slot })
     }
 
     fn has_room(&self) -> bool {
-        self.taken.get() + self.idle_count() < self.most
+        self.in_use.get() + self.idle_count() < self.max_connections
     }
 
     fn reuse(&self, to: EndpointId, address: SocketAddr) -> Option<P::Stream> {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&to)?;
-        kept.retain(|c| c.address == address && self.platform.since(c.since) < self.keep.get());
-        let settled =
-            |kept: &Vec<Idle<P::Stream>>| kept.iter().rposition(|c| self.platform.since(c.since) >= SETTLE);
-        while let Some(at) = settled(kept) {
-            let stream = kept.remove(at).stream;
+        let connections = idle.get_mut(&to)?;
+        connections.retain(|connection| {
+            connection.address == address && self.platform.since(connection.since) < self.max_idle.get()
+        });
+        let rested = |connections: &Vec<Idle<P::Stream>>| {
+            connections.iter().rposition(|connection| self.platform.since(connection.since) >= MIN_REST)
+        };
+        while let Some(index) = rested(connections) {
+            let stream = connections.remove(index).stream;
             if stream.quiet() {
                 return Some(stream);
             }
@@ -156,62 +161,65 @@
         None
     }
 
-    /// Keeps a connection whose answer has been read whole.
+    /// Puts back a connection whose response has been read completely.
     pub fn put(&self, to: EndpointId, lease: PooledConnection<P>) {
         let PooledConnection { stream, address, .. } = lease;
         let idle = Idle { stream, address, since: self.platform.now() };
         self.idle.borrow_mut().entry(to).or_default().push(idle);
     }
 
-    /// Closes the idle connections to a backend server.
+    /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, to: EndpointId) {
         self.idle.borrow_mut().remove(&to);
     }
 
-    /// The platform that the connections live on.
+    /// The platform that provides the connections.
     pub fn platform(&self) -> &P {
         &self.platform
     }
 
-    /// Closes what has stood idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn sweep(&self) {
         let mut idle = self.idle.borrow_mut();
-        for kept in idle.values_mut() {
-            kept.retain(|c| self.platform.since(c.since) < self.keep.get());
+        for connections in idle.values_mut() {
+            connections.retain(|connection| self.platform.since(connection.since) < self.max_idle.get());
         }
-        idle.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
     fn idle_count(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// Closes the connection that has stood idle longest.
-    fn evict(&self) -> bool {
+    /// Closes the connection that has been idle longest.
+    fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter_mut().filter(|(_, kept)| !kept.is_empty()).min_by_key(|(_, k)| k[0].since);
-        oldest.map(|(_, kept)| kept.remove(0)).is_some()
+        let oldest = idle
+            .iter_mut()
+            .filter(|(_, connections)| !connections.is_empty())
+            .min_by_key(|(_, connections)| connections[0].since);
+        oldest.map(|(_, connections)| connections.remove(0)).is_some()
     }
 }
 
-/// How long a connection is kept where the other side closes what stands idle for `idle`. Danger: a request that crosses
-/// that close ends as a reset that may have run, so none is written to a connection near its idle time.
-fn kept(idle: Duration) -> Duration {
+/// Time for which an idle connection is used, if the endpoint closes it after `idle`. A request that crosses
+/// that close ends as a reset that may have run, so none is written close to the endpoint's limit.
+fn usable_idle_time(idle: Duration) -> Duration {
     idle.saturating_sub((idle / 8).max(Duration::from_millis(300)))
 }
 
-/// A place among the connections in use, given back when dropped.
+/// A slot among the connections in use, freed when dropped.
 struct PoolSlot<P: Platform>(Rc<ConnectionPool<P>>);
 
 impl<P: Platform> PoolSlot<P> {
     fn take(pool: &Rc<ConnectionPool<P>>) -> PoolSlot<P> {
-        pool.taken.set(pool.taken.get() + 1);
+        pool.in_use.set(pool.in_use.get() + 1);
         PoolSlot(pool.clone())
     }
 }
 
 impl<P: Platform> Drop for PoolSlot<P> {
     fn drop(&mut self) {
-        self.0.taken.set(self.0.taken.get() - 1);
+        self.0.in_use.set(self.0.in_use.get() - 1);
     }
 }
--- a/crates/sidecar/src/requests/driver.rs
+++ b/crates/sidecar/src/requests/driver.rs
@@ -1,4 +1,4 @@
-//! The host of the table: runs its commands as tasks and feeds back what comes of them.
+//! Driver of the request table: runs its commands as tasks and feeds the results back into it.
 
 use super::table::{AttemptResult, Command, FinalResponse, NewRequest, RequestNumber, RequestTable};
 use crate::counters::Counters;
@@ -12,24 +12,24 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Something that ends later.
+/// A boxed future that stays on its thread.
 pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// How a probe ended: the outcome and the load report.
+/// Result of a probe: the outcome and the load report, if one arrived.
 pub type ProbeResult = (Outcome, Option<LoadReport>);
 
-/// What brings dispatches and probes to backend servers, by some protocol.
+/// Sends attempts and probes to endpoints over some protocol.
 pub trait Transport: 'static {
-    /// Where clock and tasks come from.
+    /// Platform that provides the clock and the tasks.
     type Platform: Platform;
-    /// What a dispatch carries.
+    /// Content of a request, handed to each of its attempts.
     type Payload: Clone + 'static;
-    /// What a backend server answers.
+    /// Response of an endpoint.
     type Response: 'static;
-    /// The clock and the tasks.
+    /// The platform that provides the clock and the tasks.
     fn platform(&self) -> &Self::Platform;
-    /// One attempt. It ends within `timeout`, and is written whole by `latest` or not at all; dropped, it ends its
-    /// connection.
+    /// Runs one attempt, which ends within `timeout`. The request is written completely by `write_by` or the
+    /// attempt fails. Dropping the future closes the attempt's connection.
     fn send_attempt(
         &self,
         to: EndpointId,
@@ -37,25 +37,27 @@
         timeout: Duration,
         write_by: Option<Instant>,
     ) -> LocalBoxFuture<AttemptResult<Self::Response>>;
-    /// One probe.
+    /// Asks an endpoint for its load report.
     fn probe(&self, to: EndpointId) -> LocalBoxFuture<ProbeResult>;
-    /// Closes idle connections.
+    /// Closes the idle connections to an endpoint.
     fn close_idle(&self, to: EndpointId);
 }
 
-/// Runs sessions. It owns the table, the clock, all timers and the tasks of all dispatches.
+/// Runs requests: owns the table, the clock, all timers and the tasks of all attempts.
 pub struct RequestDriver<T: Transport> {
     transport: T,
     table: RefCell<RequestTable<T::Payload, T::Response>>,
-    waiting: RefCell<HashMap<RequestNumber, oneshot::Sender<FinalResponse<T::Response>>>>,
-    running: RefCell<HashMap<RequestNumber, <T::Platform as Platform>::Task>>,
+    responders: RefCell<HashMap<RequestNumber, oneshot::Sender<FinalResponse<T::Response>>>>,
+    tasks: RefCell<HashMap<RequestNumber, <T::Platform as Platform>::Task>>,
     counters: Rc<Counters>,
     origin: Instant,
-    origin_at: Time,
+    /// Time on the module's clock at `origin`.
+    origin_time: Time,
 }
 
 impl<T: Transport> RequestDriver<T> {
-    /// A host whose module has not started yet. `origin` is the module's clock at this moment.
+    /// Creates a driver whose module has not started yet. `origin` is the time on the module's clock at this
+    /// moment.
     pub fn new(
         transport: T,
         settings: Settings,
@@ -63,70 +65,70 @@
         origin: Time,
         counters: Rc<Counters>,
     ) -> Result<Rc<RequestDriver<T>>, SettingsError> {
-        let began = transport.platform().now();
+        let started = transport.platform().now();
         Ok(Rc::new(RequestDriver {
             transport,
             table: RefCell::new(RequestTable::new(settings, seed, counters.clone())?),
-            waiting: RefCell::default(),
-            running: RefCell::default(),
+            responders: RefCell::default(),
+            tasks: RefCell::default(),
             counters,
-            origin: began,
-            origin_at: origin,
+            origin: started,
+            origin_time: origin,
         }))
     }
 
-    /// Where clock and tasks come from.
+    /// The platform that provides the clock and the tasks.
     pub fn platform(&self) -> &T::Platform {
         self.transport.platform()
     }
 
-    /// The module's clock.
+    /// Current time on the module's clock.
     pub fn now(&self) -> Time {
-        self.origin_at + self.platform().since(self.origin)
+        self.origin_time + self.platform().since(self.origin)
     }
 
-    /// What is counted.
+    /// The sidecar's counters.
     pub fn counters(&self) -> &Rc<Counters> {
         &self.counters
     }
 
-    /// How many listed backend servers the module avoids now.
+    /// Number of listed endpoints that the module avoids now.
     pub fn avoided_count(&self) -> usize {
         self.table.borrow().avoided_count(self.now())
     }
 
-    /// New settings. `from`: for each class, the one that it continues.
-    pub fn apply_settings(self: &Rc<Self>, settings: Settings, from: Vec<Option<ClassId>>) {
-        let commands = self.table.borrow_mut().apply_settings(self.now(), settings, from);
+    /// Puts new settings in force. `previous_classes` names, for each class, the one that it continues.
+    pub fn apply_settings(self: &Rc<Self>, settings: Settings, previous_classes: Vec<Option<ClassId>>) {
+        let commands = self.table.borrow_mut().apply_settings(self.now(), settings, previous_classes);
         self.run(commands);
     }
 
-    /// How many sessions are owed an answer.
+    /// Number of requests without a final response.
     pub fn unanswered_count(&self) -> usize {
         self.table.borrow().unanswered_count()
     }
 
-    /// Tells the module something that concerns no session.
+    /// Passes an event that concerns no request to the module.
     pub fn handle_event(self: &Rc<Self>, event: Event) {
         let commands = self.table.borrow_mut().handle_event(self.now(), event);
         self.run(commands);
     }
 
-    /// Serves one session until its final answer, at `due` at the latest. Dropped, it tells that the client
-    /// has left.
+    /// Serves one request until its final response, at `deadline` at the latest. Dropping the future reports
+    /// that the client has disconnected.
     pub async fn serve(
         self: &Rc<Self>,
-        opening: NewRequest<T::Payload>,
-        due: Instant,
+        request: NewRequest<T::Payload>,
+        deadline: Instant,
     ) -> FinalResponse<T::Response> {
         let (sender, receiver) = oneshot::channel();
-        let (id, commands) = self.table.borrow_mut().add_request(self.now(), opening);
-        self.waiting.borrow_mut().insert(id, sender);
-        let mut guard = Withdrawal { driver: self.clone(), id, armed: true };
+        let (id, commands) = self.table.borrow_mut().add_request(self.now(), request);
+        self.responders.borrow_mut().insert(id, sender);
+        let mut guard = DisconnectGuard { driver: self.clone(), id, armed: true };
         self.run(commands);
         let mut receiver = receiver;
-        let verdict = match self.platform().timeout_at(due, &mut receiver).await {
-            Ok(verdict) => verdict.ok(),
+        let response = match self.platform().timeout_at(deadline, &mut receiver).await {
+            Ok(response) => response.ok(),
             Err(_) => {
                 let commands = self.table.borrow_mut().deadline_passed(self.now(), id);
                 self.run(commands);
@@ -134,30 +136,30 @@
             }
         };
         guard.armed = false;
-        verdict.unwrap_or(FinalResponse::TimedOut)
+        response.unwrap_or(FinalResponse::TimedOut)
     }
 
     fn run(self: &Rc<Self>, commands: Vec<Command<T::Payload, T::Response>>) {
         for command in commands {
             match command {
                 Command::StartAttempt { request, attempt, endpoint, timeout, write_by, payload } => {
-                    let write_by = write_by.map(|at| self.origin + at.saturating_sub(self.origin_at));
+                    let write_by = write_by.map(|at| self.origin + at.saturating_sub(self.origin_time));
                     self.start_attempt(request, attempt, endpoint, (timeout, write_by), payload);
                 }
                 Command::CancelAttempt(request) => {
-                    if let Some(task) = self.running.borrow().get(&request) {
+                    if let Some(task) = self.tasks.borrow().get(&request) {
                         task.abort();
                     }
                 }
-                Command::Respond(request, verdict) => {
-                    if let Some(sender) = self.waiting.borrow_mut().remove(&request) {
-                        // The client may have left in the same instant; then nobody listens.
-                        let _ = sender.send(verdict);
+                Command::Respond(request, response) => {
+                    if let Some(sender) = self.responders.borrow_mut().remove(&request) {
+                        // The client may have disconnected at the same moment, and the receiver be dropped.
+                        let _ = sender.send(response);
                     }
                 }
                 Command::Remove(request) => {
-                    self.waiting.borrow_mut().remove(&request);
-                    self.running.borrow_mut().remove(&request);
+                    self.responders.borrow_mut().remove(&request);
+                    self.tasks.borrow_mut().remove(&request);
                 }
                 Command::SetTimer(after, timer) => {
                     let driver = self.clone();
@@ -167,11 +169,11 @@
                     });
                 }
                 Command::Probe(endpoint) => {
-                    let (driver, began) = (self.clone(), self.platform().now());
+                    let (driver, started) = (self.clone(), self.platform().now());
                     let probe = self.transport.probe(endpoint);
                     self.platform().detach(async move {
                         let (outcome, report) = probe.await;
-                        let latency = driver.platform().since(began);
+                        let latency = driver.platform().since(started);
                         driver.handle_event(Event::Probed { endpoint, outcome, latency, report });
                     });
                 }
@@ -189,34 +191,34 @@
         payload: T::Payload,
     ) {
         let driver = self.clone();
-        let ends = self.platform().now() + timeout;
-        let before = self.running.borrow_mut().remove(&request);
+        let end = self.platform().now() + timeout;
+        let previous = self.tasks.borrow_mut().remove(&request);
         let task = self.platform().spawn(async move {
-            // Danger: an attempt that was given up holds its connection until its task is dropped; a second
-            // one begun before that would be two at once.
-            if let Some(before) = before {
-                before.await;
+            // A cancelled attempt holds its connection until its task is dropped. Without this wait, the next
+            // attempt would run beside it.
+            if let Some(previous) = previous {
+                previous.await;
             }
-            let left = ends.saturating_duration_since(driver.platform().now());
-            let ended = driver.transport.send_attempt(endpoint, payload, left, write_by).await;
-            let commands = driver.table.borrow_mut().attempt_ended(driver.now(), request, attempt, ended);
+            let time_left = end.saturating_duration_since(driver.platform().now());
+            let result = driver.transport.send_attempt(endpoint, payload, time_left, write_by).await;
+            let commands = driver.table.borrow_mut().attempt_ended(driver.now(), request, attempt, result);
             driver.run(commands);
         });
-        self.running.borrow_mut().insert(request, task);
+        self.tasks.borrow_mut().insert(request, task);
     }
 }
 
-/// Tells the table that a client has left when its session is dropped unanswered.
-struct Withdrawal<T: Transport> {
+/// Reports a disconnected client to the table when its request is dropped before the final response.
+struct DisconnectGuard<T: Transport> {
     driver: Rc<RequestDriver<T>>,
     id: RequestNumber,
     armed: bool,
 }
 
-impl<T: Transport> Drop for Withdrawal<T> {
+impl<T: Transport> Drop for DisconnectGuard<T> {
     fn drop(&mut self) {
         if self.armed {
-            self.driver.waiting.borrow_mut().remove(&self.id);
+            self.driver.responders.borrow_mut().remove(&self.id);
             let commands = self.driver.table.borrow_mut().client_disconnected(self.driver.now(), self.id);
             self.driver.run(commands);
         }
--- a/crates/sidecar/src/requests/mod.rs
+++ b/crates/sidecar/src/requests/mod.rs
@@ -1,5 +1,5 @@
-//! Sessions, whatever protocol they came by: the table feeds the module events and turns its actions into
-//! commands, and the host carries the commands out and owns the timers.
+//! Open requests, independent of the protocol they arrive by. [`RequestTable`] feeds events to the decision
+//! module and turns its actions into commands; [`RequestDriver`] carries the commands out and owns the timers.
 
 mod driver;
 mod table;
--- a/crates/sidecar/src/requests/table.rs
+++ b/crates/sidecar/src/requests/table.rs
@@ -1,4 +1,4 @@
-//! The session table: which sessions are owed an answer and which dispatches are out. No I/O.
+//! The request table: which requests still need a final response and which attempts are running. No I/O.
 
 use crate::counters::{Counters, count, invariant};
 use cometcroft::*;
@@ -6,117 +6,119 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A session; the module knows it as a request of this number.
+/// Number of a request in its table. The module knows the request by a [`RequestId`] of the same number.
 pub type RequestNumber = u64;
 
-/// What a frontend says of a new session.
+/// A request as the frontend hands it over.
 #[derive(Debug, Clone)]
 pub struct NewRequest<P> {
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its tenant, where there are any.
+    /// The request's tenant, if tenants are configured and the request names one.
     pub tenant: Option<TenantId>,
-    /// The time until its final answer is due.
+    /// Time until the final response is due.
     pub time_left: Duration,
-    /// Its client says that it is not its first try.
+    /// The client marked the request as a retry of its own.
     pub client_retry: bool,
-    /// What a dispatch carries to a backend server.
+    /// Content handed to each attempt.
     pub payload: P,
 }
 
-/// The one final answer to a session.
+/// The one final response to a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FinalResponse<A> {
-    /// A backend server's answer.
+    /// The response of an endpoint.
     Served(A),
-    /// Denied: to try again is harmless.
+    /// Rejected: the request never ran, or a retry does no harm.
     Rejected {
-        /// Advice to stay away for so long.
+        /// Time after which the client may retry.
         retry_after: Option<Duration>,
     },
-    /// Failed, with no promise.
+    /// Failed: the request may have run.
     Failed,
-    /// No answer in time.
+    /// No response within the deadline.
     TimedOut,
 }
 
-/// How a dispatch ended.
+/// Result of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptResult<A> {
-    /// How.
+    /// Outcome as the module counts it.
     pub outcome: Outcome,
-    /// The backend server's load report, if one came along.
+    /// The endpoint's load report, if one came with the response.
     pub report: Option<LoadReport>,
-    /// The answer to hand on, if it was served.
+    /// The response to forward, if the attempt was successful.
     pub response: Option<A>,
 }
 
-/// What the table wants carried out.
+/// A command of the table to its driver.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command<P, A> {
-    /// Begin a dispatch.
+    /// Start an attempt.
     StartAttempt {
-        /// Of which session.
+        /// The request that the attempt is for.
         request: RequestNumber,
-        /// Its number, counted from 0.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
-        /// To which backend server.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// It is given up after this time.
+        /// Time limit of the attempt.
         timeout: Duration,
-        /// It is written whole by then or not at all: from then on its repeat may not be dropped any more.
+        /// The request is written completely by this time or not at all: afterwards endpoints may have dropped
+        /// its idempotency key and would run it again.
         write_by: Option<Time>,
-        /// What it carries.
+        /// Content of the request.
         payload: P,
     },
-    /// Give up the dispatch that a session has out.
+    /// Cancel the running attempt of a request.
     CancelAttempt(RequestNumber),
-    /// Give a session its final answer.
+    /// Send a request's final response.
     Respond(RequestNumber, FinalResponse<A>),
-    /// A session is over and nothing of it is out.
+    /// Remove a request that is finished and has no running attempt.
     Remove(RequestNumber),
-    /// Call [`Table::timer`] after this time.
+    /// Pass this timer event to [`RequestTable::handle_event`] after this time.
     SetTimer(Duration, Timer),
-    /// Ask a backend server for its load.
+    /// Ask an endpoint for its load report.
     Probe(EndpointId),
-    /// Close the idle connections to a backend server.
+    /// Close the idle connections to an endpoint.
     CloseIdle(EndpointId),
 }
 
 #[derive(Debug)]
 struct Attempt {
     endpoint: EndpointId,
-    began: Time,
-    out: bool,
-    /// It ended with proof that it has not run.
-    void: bool,
+    started: Time,
+    running: bool,
+    /// The attempt ended with proof that it had no effect.
+    never_ran: bool,
 }
 
 #[derive(Debug)]
 struct OpenRequest<P> {
     payload: P,
     class: ClassId,
-    dispatches: Vec<Attempt>,
+    attempts: Vec<Attempt>,
     answered: bool,
 }
 
 impl<P> OpenRequest<P> {
-    /// When the first dispatch began that may have run.
-    fn may_have_run(&self) -> Option<Time> {
-        self.dispatches.iter().find(|d| !d.void).map(|d| d.began)
+    /// Start of the first attempt that may have run.
+    fn first_possible_run(&self) -> Option<Time> {
+        self.attempts.iter().find(|attempt| !attempt.never_ran).map(|attempt| attempt.started)
     }
 }
 
-/// What is written so long before a window for repeats ends arrives in it, or a twentieth of the window within these bounds.
-const ON_ITS_WAY: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(100)];
+/// Margin for the way to the endpoint: a retry must be written this long before its deduplication window ends.
+/// It is a twentieth of the window within these bounds.
+const ARRIVAL_MARGIN: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(100)];
 
-/// All sessions of a sidecar and the module that decides on them.
+/// All open requests of a sidecar, and the module that decides on them.
 #[derive(Debug)]
 pub struct RequestTable<P, A> {
     balancer: Balancer,
-    most: usize,
+    max_attempts: usize,
     effects: Vec<Effect>,
-    sessions: HashMap<RequestNumber, OpenRequest<P>>,
+    requests: HashMap<RequestNumber, OpenRequest<P>>,
     next: RequestNumber,
     events: VecDeque<Event>,
     actions: Vec<Action>,
@@ -125,17 +127,17 @@
 }
 
 impl<P: Clone, A> RequestTable<P, A> {
-    /// A table with a module of its own.
+    /// Creates a table with a module of its own.
     pub fn new(
         settings: Settings,
         seed: u64,
         counters: Rc<Counters>,
     ) -> Result<RequestTable<P, A>, SettingsError> {
         Ok(RequestTable {
-            most: settings.limits.max_attempts as usize,
+            max_attempts: settings.limits.max_attempts as usize,
             effects: effects(&settings),
             balancer: Balancer::new(settings, seed)?,
-            sessions: HashMap::new(),
+            requests: HashMap::new(),
             next: 0,
             events: VecDeque::new(),
             actions: Vec::new(),
@@ -144,43 +146,41 @@
         })
     }
 
-    /// How many listed backend servers the module avoids now.
+    /// Number of listed endpoints that the module avoids now.
     pub fn avoided_count(&self, now: Time) -> usize {
         self.balancer.avoided_count(now)
     }
 
-    /// How many sessions are owed an answer.
+    /// Number of requests without a final response.
     pub fn unanswered_count(&self) -> usize {
-        self.sessions.values().filter(|s| !s.answered).count()
+        self.requests.values().filter(|request| !request.answered).count()
     }
 
-    /// Tells the module something that concerns no session.
+    /// Passes an event that concerns no request to the module.
     pub fn handle_event(&mut self, now: Time, event: Event) -> Vec<Command<P, A>> {
         self.events.push_back(event);
         self.run(now)
     }
 
-    /// New settings. `from`: for each class, the one that it continues. Fewer attempts bind all sessions from now on.
+    /// Puts new settings in force. `previous_classes` names, for each class, the one that it continues. A lower
+    /// limit of attempts applies to requests that are already open, too.
     pub fn apply_settings(
         &mut self,
         now: Time,
         settings: Settings,
-        from: Vec<Option<ClassId>>,
+        previous_classes: Vec<Option<ClassId>>,
     ) -> Vec<Command<P, A>> {
-        self.most = settings.limits.max_attempts as usize;
+        self.max_attempts = settings.limits.max_attempts as usize;
         self.effects = effects(&settings);
-        self.handle_event(
-            now,
-            Event::SettingsChanged { settings: Box::new(settings), previous_classes: from },
-        )
+        self.handle_event(now, Event::SettingsChanged { settings: Box::new(settings), previous_classes })
     }
 
-    /// A session has come in.
-    pub fn add_request(&mut self, now: Time, opening: NewRequest<P>) -> (RequestNumber, Vec<Command<P, A>>) {
-        let (id, NewRequest { class, tenant, time_left, client_retry, payload }) = (self.next, opening);
+    /// Adds a request that has arrived.
+    pub fn add_request(&mut self, now: Time, request: NewRequest<P>) -> (RequestNumber, Vec<Command<P, A>>) {
+        let (id, NewRequest { class, tenant, time_left, client_retry, payload }) = (self.next, request);
         self.next += 1;
         count(&self.counters.sessions);
-        self.sessions.insert(id, OpenRequest { payload, class, dispatches: Vec::new(), answered: false });
+        self.requests.insert(id, OpenRequest { payload, class, attempts: Vec::new(), answered: false });
         let request = RequestId(id);
         let commands = self.handle_event(
             now,
@@ -189,23 +189,23 @@
         (id, commands)
     }
 
-    /// A dispatch has ended.
+    /// Records the end of an attempt.
     pub fn attempt_ended(
         &mut self,
         now: Time,
         id: RequestNumber,
         attempt: u32,
-        ended: AttemptResult<A>,
+        result: AttemptResult<A>,
     ) -> Vec<Command<P, A>> {
-        let Some(session) = self.sessions.get_mut(&id) else { return Vec::new() };
-        let Some(dispatch) = session.dispatches.get_mut(attempt as usize).filter(|d| d.out) else {
-            // It was given up in the same instant and the module has been told so.
+        let Some(open) = self.requests.get_mut(&id) else { return Vec::new() };
+        let Some(current) = open.attempts.get_mut(attempt as usize).filter(|attempt| attempt.running) else {
+            // It was cancelled at the same moment, and the module has been informed.
             return Vec::new();
         };
-        dispatch.out = false;
-        dispatch.void = ended.outcome.never_ran();
-        let (endpoint, latency) = (dispatch.endpoint, now.saturating_sub(dispatch.began));
-        let AttemptResult { outcome, report, response: answer } = ended;
+        current.running = false;
+        current.never_ran = result.outcome.never_ran();
+        let (endpoint, latency) = (current.endpoint, now.saturating_sub(current.started));
+        let AttemptResult { outcome, report, response } = result;
         count(match outcome {
             Outcome::Ok => &self.counters.dispatch_ok,
             Outcome::Error => &self.counters.dispatch_error,
@@ -216,31 +216,31 @@
             Outcome::Cancelled => &self.counters.dispatch_cancelled,
             Outcome::NotSent => &self.counters.dispatch_moot,
         });
-        if let (Some(answer), Outcome::Ok, false) = (answer, outcome, session.answered) {
-            session.answered = true;
+        if let (Some(response), Outcome::Ok, false) = (response, outcome, open.answered) {
+            open.answered = true;
             count(&self.counters.served);
-            self.commands.push(Command::Respond(id, FinalResponse::Served(answer)));
+            self.commands.push(Command::Respond(id, FinalResponse::Served(response)));
         }
-        let (request, finished) = (RequestId(id), session.answered);
+        let (request, finished) = (RequestId(id), open.answered);
         let event = Event::Outcome { request, attempt, endpoint, finished, outcome, latency, report };
         self.events.push_back(event);
         self.run(now)
     }
 
-    /// The client has left; nothing is owed.
+    /// Records that the client has disconnected; no response is needed any more.
     pub fn client_disconnected(&mut self, now: Time, id: RequestNumber) -> Vec<Command<P, A>> {
-        match self.sessions.get_mut(&id).filter(|s| !s.answered) {
-            Some(session) => session.answered = true,
+        match self.requests.get_mut(&id).filter(|request| !request.answered) {
+            Some(open) => open.answered = true,
             None => return Vec::new(),
         }
         count(&self.counters.withdrawn);
         self.close(now, id)
     }
 
-    /// The answer is due now, whatever the module waits for.
+    /// Records that the deadline has passed, whatever the module is waiting for.
     pub fn deadline_passed(&mut self, now: Time, id: RequestNumber) -> Vec<Command<P, A>> {
-        match self.sessions.get_mut(&id).filter(|s| !s.answered) {
-            Some(session) => session.answered = true,
+        match self.requests.get_mut(&id).filter(|request| !request.answered) {
+            Some(open) => open.answered = true,
             None => return Vec::new(),
         }
         count(&self.counters.overdue);
@@ -251,26 +251,27 @@
     fn close(&mut self, now: Time, id: RequestNumber) -> Vec<Command<P, A>> {
         self.events.push_back(Event::ClientDisconnected(RequestId(id)));
         let mut commands = self.run(now);
-        // The module calls off what is out only where that is permitted; a dispatch that nobody waits for is
-        // ended all the same, as its connection would stay taken.
+        // The module cancels a running attempt only where the settings permit it. Without a client the attempt
+        // is ended in any case, since it would keep its connection in use.
         self.cancel_attempts(now, id);
         commands.extend(self.run(now));
         commands
     }
 
     fn cancel_attempts(&mut self, now: Time, id: RequestNumber) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
-        for (attempt, dispatch) in session.dispatches.iter_mut().enumerate().filter(|(_, d)| d.out) {
-            dispatch.out = false;
+        let Some(open) = self.requests.get_mut(&id) else { return };
+        for (attempt, current) in open.attempts.iter_mut().enumerate().filter(|(_, attempt)| attempt.running)
+        {
+            current.running = false;
             count(&self.counters.dispatch_cancelled);
             self.commands.push(Command::CancelAttempt(id));
             self.events.push_back(Event::Outcome {
                 request: RequestId(id),
                 attempt: attempt as u32,
-                endpoint: dispatch.endpoint,
-                finished: session.answered,
+                endpoint: current.endpoint,
+                finished: open.answered,
                 outcome: Outcome::Cancelled,
-                latency: now.saturating_sub(dispatch.began),
+                latency: now.saturating_sub(current.started),
                 report: None,
             });
         }
@@ -278,7 +279,7 @@
 
     fn run(&mut self, now: Time) -> Vec<Command<P, A>> {
         while let Some(event) = self.events.pop_front() {
-            let concerned = match &event {
+            let changed = match &event {
                 Event::Request { request, .. } | Event::Outcome { request, .. } => Some(request.0),
                 Event::ClientDisconnected(request) => Some(request.0),
                 _ => None,
@@ -286,20 +287,22 @@
             let mut actions = std::mem::take(&mut self.actions);
             self.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(now, action);
+                self.execute(now, action);
             }
             self.actions = actions;
-            if let Some(id) = concerned
-                && self.sessions.get(&id).is_some_and(|s| s.answered && s.dispatches.iter().all(|d| !d.out))
+            if let Some(id) = changed
+                && self.requests.get(&id).is_some_and(|request| {
+                    request.answered && request.attempts.iter().all(|attempt| !attempt.running)
+                })
             {
-                self.sessions.remove(&id);
+                self.requests.remove(&id);
                 self.commands.push(Command::Remove(id));
             }
         }
         std::mem::take(&mut self.commands)
     }
 
-    fn carry_out(&mut self, now: Time, action: Action) {
+    fn execute(&mut self, now: Time, action: Action) {
         match action {
             Action::Send { request, endpoint, timeout } => self.send(now, request.0, endpoint, timeout),
             Action::Reject { request, retry_after } => {
@@ -310,37 +313,45 @@
             Action::SetTimer { after, timer } => self.commands.push(Command::SetTimer(after, timer)),
             Action::Probe(endpoint) => self.commands.push(Command::Probe(endpoint)),
             Action::CloseIdle(endpoint) => self.commands.push(Command::CloseIdle(endpoint)),
-            // Discovery is watched from the start, whether the module would ask or lists are pushed: `watch`.
+            // Discovery is watched from the start, whether lists are requested or pushed: see
+            // `discovery::watch`.
             Action::Subscribe => {}
         }
     }
 
     fn send(&mut self, now: Time, id: RequestNumber, endpoint: EndpointId, timeout: Duration) {
-        let Some(session) = self.sessions.get_mut(&id) else {
-            invariant(&self.counters, false, "only known sessions are dispatched");
+        let Some(open) = self.requests.get_mut(&id) else {
+            invariant(&self.counters, false, "attempts are started only for known requests");
             return;
         };
-        let out = session.dispatches.iter().any(|d| d.out);
-        invariant(&self.counters, !out, "a session has one dispatch out at most");
-        let attempt = session.dispatches.len();
-        let (effect, ran) = (self.effects.get(session.class.0), session.may_have_run());
-        // Danger: a class that must never run twice is not sent again if it may have run, whoever decided so.
-        let twice = ran.is_some() && matches!(effect, Some(Effect::Unsafe));
-        invariant(&self.counters, !twice, "what may have run and must not run twice is not sent again");
-        // Danger: the window for repeats may end while a connection is made or a body is written.
-        let latest = match (effect, ran) {
-            (Some(Effect::Keyed { window, .. }), Some(ran)) => {
-                Some(ran + window.saturating_sub((*window / 20).clamp(ON_ITS_WAY[0], ON_ITS_WAY[1])))
-            }
+        let running = open.attempts.iter().any(|attempt| attempt.running);
+        invariant(&self.counters, !running, "a request has at most one running attempt");
+        let attempt = open.attempts.len();
+        let (effect, possible_run) = (self.effects.get(open.class.0), open.first_possible_run());
+        // Checked here again, independently of the module: a non-idempotent request that may have run is never
+        // sent a second time.
+        let would_run_twice = possible_run.is_some() && matches!(effect, Some(Effect::Unsafe));
+        invariant(
+            &self.counters,
+            !would_run_twice,
+            "a non-idempotent request that may have run is not sent again",
+        );
+        // The deduplication window may end while a connection is being made or a body is being written.
+        let write_by = match (effect, possible_run) {
+            (Some(Effect::Keyed { window, .. }), Some(possible_run)) => Some(
+                possible_run
+                    + window.saturating_sub((*window / 20).clamp(ARRIVAL_MARGIN[0], ARRIVAL_MARGIN[1])),
+            ),
             _ => None,
         };
-        // Never two at once, whatever was decided: what can't be sent is reported as never sent.
-        let moot = out || session.answered || twice || attempt >= self.most;
-        session.dispatches.push(Attempt { endpoint, began: now, out: !moot, void: moot });
+        // Attempts of one request never run side by side, whatever the module decided. An attempt that can't be
+        // started is reported as never sent.
+        let blocked = running || open.answered || would_run_twice || attempt >= self.max_attempts;
+        open.attempts.push(Attempt { endpoint, started: now, running: !blocked, never_ran: blocked });
         let attempt = attempt as u32;
-        if moot {
+        if blocked {
             count(&self.counters.dispatch_moot);
-            let (request, finished) = (RequestId(id), session.answered);
+            let (request, finished) = (RequestId(id), open.answered);
             let (outcome, latency) = (Outcome::NotSent, Duration::ZERO);
             let event =
                 Event::Outcome { request, attempt, endpoint, finished, outcome, latency, report: None };
@@ -348,23 +359,23 @@
             return;
         }
         count(&self.counters.dispatches);
-        let payload = session.payload.clone();
+        let payload = open.payload.clone();
         self.commands.push(Command::StartAttempt {
             request: id,
             attempt,
             endpoint,
             timeout,
-            write_by: latest,
+            write_by,
             payload,
         });
     }
 
-    fn answer(&mut self, now: Time, id: RequestNumber, verdict: FinalResponse<A>) {
-        let Some(session) = self.sessions.get_mut(&id).filter(|s| !s.answered) else { return };
-        session.answered = true;
-        let denied = matches!(verdict, FinalResponse::Rejected { .. });
-        count(if denied { &self.counters.denied } else { &self.counters.failed });
-        self.commands.push(Command::Respond(id, verdict));
+    fn answer(&mut self, now: Time, id: RequestNumber, response: FinalResponse<A>) {
+        let Some(open) = self.requests.get_mut(&id).filter(|request| !request.answered) else { return };
+        open.answered = true;
+        let rejected = matches!(response, FinalResponse::Rejected { .. });
+        count(if rejected { &self.counters.denied } else { &self.counters.failed });
+        self.commands.push(Command::Respond(id, response));
         self.cancel_attempts(now, id);
     }
 }
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -1,5 +1,5 @@
-//! The body of a large request on its way from its client to a backend server: what is held of it, and what that means
-//! for a further attempt. No I/O.
+//! The body of a large request on its way from client to endpoint: which part of it is held, and whether
+//! another attempt is possible. No I/O.
 
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
@@ -8,225 +8,232 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// So much of a body is gathered before it is sent on, where the memory for it is there; what is whole by then can be
-/// sent again. Danger: a slow client would hold a connection to a backend server for as long as it takes.
+/// Maximum number of bytes of a body that are buffered before it is sent on, as far as the memory permits. A
+/// body that is complete by then can be sent again. Without buffering, a slow client would occupy a connection
+/// to an endpoint for the whole time of its upload.
 pub const MAX_BUFFERED: usize = 1 << 20;
-/// So much of it is held once it is on its way.
+/// Maximum number of bytes held of a body that is being sent.
 const SEND_WINDOW: usize = 64 * 1024;
-/// What a piece costs beside its bytes. Danger: a client that sends single bytes would be held at forty times their
-/// number.
-const PIECE: usize = 64;
-/// No client takes more than so long without sending anything, ...
-const PAUSE: Duration = Duration::from_millis(2500);
-/// ... and on the whole none sends fewer bytes a second. Danger: one byte now and then would hold a place for ever.
-const SLOWEST: f64 = 16.0 * 1024.0;
-/// What is assumed of a body that doesn't tell its length.
-const UNTOLD: usize = 1 << 20;
-
-/// Memory for bodies, shared by all of them.
+/// Memory used by a piece in addition to its bytes. A client that sends single bytes would otherwise take forty
+/// times as much memory as is accounted for.
+const PIECE_OVERHEAD: usize = 64;
+/// Longest pause of a client within a body.
+const MAX_PAUSE: Duration = Duration::from_millis(2500);
+/// Lowest average rate of a client's body. Without it, a client that sends a byte now and then would occupy its
+/// connection forever.
+const MIN_BYTES_PER_SECOND: f64 = 16.0 * 1024.0;
+/// Length assumed for a body that does not state it.
+const ASSUMED_LENGTH: usize = 1 << 20;
+
+/// Memory for request bodies, shared by all of them.
 #[derive(Debug)]
 pub struct BodyMemory {
-    most: usize,
-    taken: Cell<usize>,
+    limit: usize,
+    reserved: Cell<usize>,
 }
 
 impl BodyMemory {
-    /// So many bytes in all.
-    pub fn new(most: usize) -> Rc<BodyMemory> {
-        Rc::new(BodyMemory { most, taken: Cell::new(0) })
+    /// Creates a pool of `limit` bytes.
+    pub fn new(limit: usize) -> Rc<BodyMemory> {
+        Rc::new(BodyMemory { limit, reserved: Cell::new(0) })
     }
 
-    /// What is taken now.
+    /// Number of bytes reserved now.
     pub fn reserved(&self) -> usize {
-        self.taken.get()
+        self.reserved.get()
     }
 
-    fn take(&self, bytes: usize) -> bool {
-        let fits = self.taken.get() + bytes <= self.most;
+    fn try_reserve(&self, bytes: usize) -> bool {
+        let fits = self.reserved.get() + bytes <= self.limit;
         if fits {
-            self.taken.set(self.taken.get() + bytes);
+            self.reserved.set(self.reserved.get() + bytes);
         }
         fits
     }
 }
 
-/// A large body.
+/// A large request body.
 #[derive(Debug)]
 pub struct Upload {
-    budget: Rc<BodyMemory>,
-    /// Its length, if its head told.
-    pub length: Option<usize>,
+    memory: Rc<BodyMemory>,
+    /// The length stated in the head, if any.
+    pub content_length: Option<usize>,
     pieces: RefCell<VecDeque<Bytes>>,
     held: Cell<usize>,
-    /// What of `held` is booked with the budget.
-    booked: Cell<usize>,
-    came: Cell<usize>,
-    whole: Cell<bool>,
-    /// All of it is held, for as many attempts as there are.
-    kept: Cell<bool>,
-    begun: Cell<bool>,
-    /// Part of it has been written and is not held any more.
-    spent: Cell<bool>,
-    arrived: Notify,
-    drained: Notify,
+    /// The part of `held` that is reserved in `memory`.
+    reserved: Cell<usize>,
+    received: Cell<usize>,
+    complete: Cell<bool>,
+    /// The complete body is held and can be sent by any number of attempts.
+    retained: Cell<bool>,
+    sending: Cell<bool>,
+    /// A part has been written and is not held any more.
+    discarded: Cell<bool>,
+    piece_arrived: Notify,
+    piece_taken: Notify,
 }
 
 impl Upload {
-    /// One of which nothing has come.
-    pub fn new(budget: Rc<BodyMemory>, length: Option<usize>) -> Upload {
+    /// Creates a body of which nothing has arrived.
+    pub fn new(memory: Rc<BodyMemory>, content_length: Option<usize>) -> Upload {
         Upload {
-            budget,
-            length,
+            memory,
+            content_length,
             pieces: RefCell::default(),
             held: Cell::new(0),
-            booked: Cell::new(0),
-            came: Cell::new(0),
-            whole: Cell::new(false),
-            kept: Cell::new(false),
-            begun: Cell::new(false),
-            spent: Cell::new(false),
-            arrived: Notify::new(),
-            drained: Notify::new(),
+            reserved: Cell::new(0),
+            received: Cell::new(0),
+            complete: Cell::new(false),
+            retained: Cell::new(false),
+            sending: Cell::new(false),
+            discarded: Cell::new(false),
+            piece_arrived: Notify::new(),
+            piece_taken: Notify::new(),
         }
     }
 
-    /// A piece has come.
+    /// Adds a piece that has arrived.
     pub fn push(&self, piece: Bytes) {
-        self.held.set(self.held.get() + piece.len() + PIECE);
-        self.came.set(self.came.get() + piece.len());
+        self.held.set(self.held.get() + piece.len() + PIECE_OVERHEAD);
+        self.received.set(self.received.get() + piece.len());
         self.pieces.borrow_mut().push_back(piece);
-        self.arrived.notify_one();
+        self.piece_arrived.notify_one();
     }
 
-    /// All has come.
+    /// Records that the body is complete.
     pub fn finish(&self) {
-        self.whole.set(true);
-        self.arrived.notify_one();
+        self.complete.set(true);
+        self.piece_arrived.notify_one();
     }
 
-    /// All has come.
+    /// Returns whether the body has arrived completely.
     pub fn is_complete(&self) -> bool {
-        self.whole.get()
+        self.complete.get()
     }
 
-    /// Whether more of it may be gathered before it is sent on.
+    /// Reserves memory for the next read; returns false if the body should be sent on instead.
     pub fn reserve_buffer(&self) -> bool {
-        if self.whole.get() || self.held.get() >= MAX_BUFFERED {
+        if self.complete.get() || self.held.get() >= MAX_BUFFERED {
             return false;
         }
-        // Booked ahead by the window, as a read may bring that much.
-        let wanted = (self.held.get() + SEND_WINDOW).saturating_sub(self.booked.get());
-        let fits = self.budget.take(wanted);
+        // Reserved ahead by the window, since one read may bring that much.
+        let needed = (self.held.get() + SEND_WINDOW).saturating_sub(self.reserved.get());
+        let fits = self.memory.try_reserve(needed);
         if fits {
-            self.booked.set(self.booked.get() + wanted);
+            self.reserved.set(self.reserved.get() + needed);
         }
         fits
     }
 
-    /// It is not sent on yet.
+    /// Returns whether the body is still being buffered and not yet sent on.
     pub fn is_buffering(&self) -> bool {
-        !self.begun.get()
+        !self.sending.get()
     }
 
-    /// It is sent on from here on: what is whole stays, anything else goes as it is written.
+    /// Ends buffering. A complete body is retained; of any other, pieces are discarded as they are written.
     pub fn start_sending(&self) {
-        self.begun.set(true);
-        self.kept.set(self.whole.get());
-        if !self.kept.get() {
-            self.give_back();
+        self.sending.set(true);
+        self.retained.set(self.complete.get());
+        if !self.retained.get() {
+            self.release_memory();
         }
     }
 
-    fn give_back(&self) {
-        let booked = self.booked.replace(0);
-        self.budget.taken.set(self.budget.taken.get().saturating_sub(booked));
+    fn release_memory(&self) {
+        let reserved = self.reserved.replace(0);
+        self.memory.reserved.set(self.memory.reserved.get().saturating_sub(reserved));
     }
 
-    /// No attempt can be made any more.
+    /// Returns whether a part of the body is discarded, so that no further attempt is possible.
     pub fn has_discarded(&self) -> bool {
-        self.spent.get()
+        self.discarded.get()
     }
 
-    /// Waits until more may be read.
+    /// Waits until more of the body may be read.
     pub async fn wait_for_room(&self) {
         while self.held.get() >= SEND_WINDOW {
-            self.drained.notified().await;
+            self.piece_taken.notified().await;
         }
     }
 
-    /// Of an attempt that has written `at` pieces, the next; `None` at the end.
-    pub async fn piece(&self, at: usize) -> Option<Bytes> {
-        if self.kept.get() {
-            return self.pieces.borrow().get(at).cloned();
+    /// The next piece for an attempt that has written `index` pieces; `None` at the end of the body.
+    pub async fn piece(&self, index: usize) -> Option<Bytes> {
+        if self.retained.get() {
+            return self.pieces.borrow().get(index).cloned();
         }
         loop {
-            // Danger: what leaves here is gone, whether its attempt comes to an end or not.
+            // A piece that is taken here is gone, whether its attempt succeeds or not.
             let next = self.pieces.borrow_mut().pop_front();
             if let Some(piece) = next {
-                self.spent.set(true);
-                self.held.set(self.held.get() - piece.len() - PIECE);
-                self.drained.notify_one();
+                self.discarded.set(true);
+                self.held.set(self.held.get() - piece.len() - PIECE_OVERHEAD);
+                self.piece_taken.notify_one();
                 return Some(piece);
             }
-            if self.whole.get() {
+            if self.complete.get() {
                 return None;
             }
-            self.arrived.notified().await;
+            self.piece_arrived.notified().await;
         }
     }
 
-    /// How long the rest will take to come, if it goes on as it did in `gone`.
-    pub fn expected_time_left(&self, gone: Duration) -> Duration {
-        let rest = self.length.unwrap_or(self.came.get() + UNTOLD).saturating_sub(self.came.get());
-        if self.whole.get() || rest == 0 {
+    /// Estimated time until the rest arrives, if it continues at the rate seen during `elapsed`.
+    pub fn expected_time_left(&self, elapsed: Duration) -> Duration {
+        let missing = self
+            .content_length
+            .unwrap_or(self.received.get() + ASSUMED_LENGTH)
+            .saturating_sub(self.received.get());
+        if self.complete.get() || missing == 0 {
             return Duration::ZERO;
         }
-        let rate = (self.came.get() as f64 / gone.as_secs_f64().max(0.001)).max(4.0 * SLOWEST);
-        Duration::from_secs_f64((rest as f64 / rate).min(60.0)) + Duration::from_millis(500)
+        let rate =
+            (self.received.get() as f64 / elapsed.as_secs_f64().max(0.001)).max(4.0 * MIN_BYTES_PER_SECOND);
+        Duration::from_secs_f64((missing as f64 / rate).min(60.0)) + Duration::from_millis(500)
     }
 
-    /// What it is framed by on its way on: its length, if that was known when it began. Danger: it may become whole
-    /// between its head and its first piece; what the head said stands.
+    /// The length to state when the body is sent on: that from the client's head, or that of a body that was
+    /// complete when sending began. A body that becomes complete between its head and its first piece stays
+    /// chunked, as its head says.
     pub fn declared_length(&self) -> Option<usize> {
-        self.length.or_else(|| self.kept.get().then(|| self.came.get()))
+        self.content_length.or_else(|| self.retained.get().then(|| self.received.get()))
     }
 }
 
 impl Drop for Upload {
     fn drop(&mut self) {
-        self.give_back();
+        self.release_memory();
     }
 }
 
-/// How long a client is waited for while its body comes: only the time counts in which we wait.
+/// Time limit for a client's body. Only time spent waiting for the client counts.
 #[derive(Debug)]
 pub struct ReadTimeout {
     since: Instant,
     waited: Duration,
-    came: usize,
+    received: usize,
 }
 
 impl ReadTimeout {
-    /// Patience that begins now.
+    /// Creates a limit that starts now.
     pub fn new(now: Instant) -> ReadTimeout {
-        ReadTimeout { since: now, waited: Duration::ZERO, came: 0 }
+        ReadTimeout { since: now, waited: Duration::ZERO, received: 0 }
     }
 
-    /// A wait begins; when it has been too long.
+    /// Starts a wait and returns the time at which it has taken too long.
     pub fn start_wait(&mut self, now: Instant) -> Instant {
         self.since = now;
-        let earned = PAUSE + Duration::from_secs_f64(self.came as f64 / SLOWEST);
-        now + PAUSE.min(earned.saturating_sub(self.waited))
+        let allowed = MAX_PAUSE + Duration::from_secs_f64(self.received as f64 / MIN_BYTES_PER_SECOND);
+        now + MAX_PAUSE.min(allowed.saturating_sub(self.waited))
     }
 
-    /// How long was waited in all.
+    /// Total time spent waiting.
     pub fn waited(&self) -> Duration {
         self.waited
     }
 
-    /// It has ended with so many bytes.
+    /// Ends a wait that brought this many bytes.
     pub fn end_wait(&mut self, now: Instant, bytes: usize) {
         self.waited += now.saturating_duration_since(self.since);
-        self.came += bytes;
+        self.received += bytes;
     }
 }
