--- a/crates/sidecar/tests/crossings.rs
+++ b/crates/sidecar/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Events that cross, each forced by a stand-in that stops at a byte or an event and goes on when told:
-//! docs/design/crossings.md has a row for each.
+//! Events that cross each other, forced by stubs that stop at a byte or an event and continue when told to.
+//! docs/design/crossings.md lists each case.
 #![allow(clippy::disallowed_methods)]
 mod common;
 
@@ -21,32 +21,34 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// An answer of discovery.
-fn told(index: i64, whole: bool, rows: &str) -> String {
-    let list = format!(r#"{{"index":{index},"snapshot":{whole},"endpoints":[{rows}]}}"#);
+/// A response of discovery.
+fn list_response(index: i64, snapshot: bool, entries: &str) -> String {
+    let list = format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{entries}]}}"#);
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())
 }
 
 // ---- Lists ----------------------------------------------------------------------------------------------------
 
-/// The module asks to subscribe only where lists are asked for; an agent to which they are pushed is watched too.
+/// The module subscribes only where lists are requested; a discovery service that pushes lists is watched all
+/// the same.
 #[test]
-fn where_lists_are_pushed_the_agent_is_asked_at_once_and_watched() {
+fn with_pushed_lists_discovery_is_called_at_once_and_watched() {
     story_with(pushed, |sidecar| async move {
-        let mut agent = next(&sidecar.discovery).await;
-        assert!(agent.hear().await.starts_with("GET /discovery/hosts?from=1&hold_ms=0 "));
-        agent.say(&told(2, false, "")).await;
-        assert!(agent.hear().await.starts_with("GET /discovery/hosts?from=2&hold_ms="));
+        let mut discovery = next(&sidecar.discovery).await;
+        assert!(discovery.hear().await.starts_with("GET /discovery/hosts?from=1&hold_ms=0 "));
+        discovery.say(&list_response(2, false, "")).await;
+        assert!(discovery.hear().await.starts_with("GET /discovery/hosts?from=2&hold_ms="));
         assert!(reaches(&sidecar).await);
-        agent.say(&told(3, false, &row(&sidecar, "draining"))).await;
-        assert!(agent.hear().await.contains("?from=3&"));
-        assert!(!reaches(&sidecar).await, "it was told that its only backend server drains");
+        discovery.say(&list_response(3, false, &row(&sidecar, "draining"))).await;
+        assert!(discovery.hear().await.contains("?from=3&"));
+        assert!(!reaches(&sidecar).await, "its only endpoint is draining");
     });
 }
 
-/// What an agent gets when discovery is back counts as told at once: whoever asks is there when it speaks again.
+/// A change that discovery learns after an outage counts as known at once, so the sidecar must be waiting when
+/// discovery responds again.
 #[test]
-fn an_agent_that_is_silent_is_asked_again_and_again_until_it_speaks() {
+fn a_discovery_that_is_silent_is_called_until_it_responds() {
     story_with(pushed, |sidecar| async move {
         for _ in 0..6 {
             let mut silent = next(&sidecar.discovery).await;
@@ -54,22 +56,22 @@
             assert_eq!(
                 silent.hear().await,
                 "",
-                "its call is given up, on its connection nothing can come late"
+                "the call is cancelled with its connection, so no response can arrive late"
             );
         }
-        let mut agent = next(&sidecar.discovery).await;
-        agent.hear().await;
-        agent.say(&told(2, true, &row(&sidecar, "draining"))).await;
-        assert!(agent.hear().await.contains("?from=2&"));
+        let mut discovery = next(&sidecar.discovery).await;
+        discovery.hear().await;
+        discovery.say(&list_response(2, true, &row(&sidecar, "draining"))).await;
+        assert!(discovery.hear().await.contains("?from=2&"));
         assert!(!reaches(&sidecar).await);
         assert_eq!(sidecar.counters.discovery_silent.get(), 6);
     });
 }
 
-/// A change counts as told 6 s after a call was refused, and the call that follows may fall silent: another one is made
-/// beside it in time, asks at once for what is owed, and what it brings counts.
+/// A change counts as known 6 s after a call has failed, and the call that follows may fall silent. Another one
+/// is started beside it in time and asks for changes without waiting; its response counts.
 #[test]
-fn a_call_after_a_refused_one_that_falls_silent_is_followed_in_time() {
+fn a_silent_call_after_a_failed_one_is_followed_by_another_in_time() {
     story(|sidecar| async move {
         for _ in 0..2 {
             let mut discovery = next(&sidecar.discovery).await;
@@ -79,48 +81,58 @@
         let mut silent = next(&sidecar.discovery).await;
         assert!(silent.hear().await.contains("?from=1&hold_ms="));
         let mut second = next(&sidecar.discovery).await;
-        assert!(second.hear().await.contains("?from=1&hold_ms=0 "), "whether there is news is owed");
-        second.say(&told(2, true, &row(&sidecar, "draining"))).await;
+        assert!(second.hear().await.contains("?from=1&hold_ms=0 "), "it asks for changes without waiting");
+        second.say(&list_response(2, true, &row(&sidecar, "draining"))).await;
         assert!(second.hear().await.contains("?from=2&"));
         assert!(!reaches(&sidecar).await);
         assert_eq!(sidecar.counters.discovery_failures.get(), 2);
     });
 }
 
-/// Discovery answers all callers in turn and may be late: a call that is overdue is not given up for the second one, and
-/// its answer binds when it comes first.
+/// Discovery responds to all callers in turn and may be late. An overdue call is not cancelled for the second
+/// one, and its response counts if it arrives first.
 #[test]
-fn the_late_answer_of_an_overdue_call_still_binds() {
+fn the_late_response_to_an_overdue_call_still_counts() {
     story(|sidecar| async move {
         let mut late = next(&sidecar.discovery).await;
         assert!(late.hear().await.contains("?from=1&hold_ms="));
         let mut second = next(&sidecar.discovery).await;
         assert!(second.hear().await.contains("?from=1&hold_ms=0 "));
-        late.say(&told(2, true, &row(&sidecar, "draining"))).await;
-        assert!(!reaches(&sidecar).await, "the late answer binds");
-        second.say(&told(1, false, "")).await;
-        assert!(second.hear().await.contains("?from=2&"), "an older answer of the second call is no failure");
+        late.say(&list_response(2, true, &row(&sidecar, "draining"))).await;
+        assert!(!reaches(&sidecar).await, "the late response counts");
+        second.say(&list_response(1, false, "")).await;
+        assert!(
+            second.hear().await.contains("?from=2&"),
+            "an older response to the second call is no failure"
+        );
         assert_eq!(sidecar.counters.discovery_older.get(), 0);
     });
 }
 
-/// An answer that was held up, or a copy of discovery that lags: it bars, and never un-bars.
+/// A response that was delayed, or a discovery replica that lags: an older list may exclude endpoints, but
+/// never readmits them.
 #[test]
-fn an_older_list_bars_and_never_un_bars_until_discovery_has_begun_anew() {
+fn an_older_list_only_excludes_endpoints_until_it_is_repeated() {
     story(|sidecar| async move {
         let mut discovery = next(&sidecar.discovery).await;
         discovery.hear().await;
-        discovery.say(&told(7, false, &row(&sidecar, "draining"))).await;
+        discovery.say(&list_response(7, false, &row(&sidecar, "draining"))).await;
         assert!(discovery.hear().await.contains("?from=7&"));
-        discovery.say(&told(6, true, &row(&sidecar, "up"))).await;
+        discovery.say(&list_response(6, true, &row(&sidecar, "up"))).await;
         for older in 1..3 {
             let mut discovery = next(&sidecar.discovery).await;
-            assert!(discovery.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"), "the whole list");
+            assert!(
+                discovery.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"),
+                "it asks for the complete list"
+            );
             assert!(!reaches(&sidecar).await);
             assert_eq!(sidecar.counters.discovery_older.get(), older);
-            discovery.say(&told(6, true, &row(&sidecar, "up"))).await;
+            discovery.say(&list_response(6, true, &row(&sidecar, "up"))).await;
             if older == 2 {
-                assert!(discovery.hear().await.contains("?from=6&"), "three times running: it is taken");
+                assert!(
+                    discovery.hear().await.contains("?from=6&"),
+                    "after three times the list is accepted"
+                );
             }
         }
         assert!(reaches(&sidecar).await);
@@ -128,112 +140,118 @@
     });
 }
 
-/// The old call is dropped before the new one is made, so its answer can't come after the other's.
+/// The old call is dropped before the new one starts, so its response can't arrive after the other's.
 #[test]
-fn what_a_call_that_was_given_up_brings_late_is_heard_by_nobody() {
+fn the_late_response_to_a_cancelled_call_is_ignored() {
     story(|sidecar| async move {
         let mut old = next(&sidecar.discovery).await;
         old.hear().await;
         let mut new = next(&sidecar.discovery).await;
         new.hear().await;
-        new.say(&told(9, false, &row(&sidecar, "draining"))).await;
+        new.say(&list_response(9, false, &row(&sidecar, "draining"))).await;
         assert!(new.hear().await.contains("?from=9&"));
-        let _ =
-            tokio::io::AsyncWriteExt::write_all(&mut old.0, told(8, true, &row(&sidecar, "up")).as_bytes())
-                .await;
+        let _ = tokio::io::AsyncWriteExt::write_all(
+            &mut old.0,
+            list_response(8, true, &row(&sidecar, "up")).as_bytes(),
+        )
+        .await;
         rest().await;
         assert!(!reaches(&sidecar).await);
     });
 }
 
-/// The notice of a drain comes while the connection for an attempt is being made: the attempt does not begin.
+/// The notification of a drain arrives while the connection for an attempt is being made: the attempt does not
+/// start.
 #[test]
-fn a_drain_told_while_a_connection_is_made_bars_the_attempt() {
+fn a_drain_notified_while_connecting_prevents_the_attempt() {
     story_with(slow_dials, |sidecar| async move {
         let mut discovery = watch(&sidecar).await;
         sidecar.gates.shut(sidecar.server());
         let mut client = Peer::to(&sidecar).await;
         client.say(PLAN).await;
         sidecar.gates.waits().await;
-        discovery.say(&told(2, false, &row(&sidecar, "draining"))).await;
+        discovery.say(&list_response(2, false, &row(&sidecar, "draining"))).await;
         assert!(discovery.hear().await.contains("?from=2&"));
-        // Within the grace of 250 ms, of which nothing is used.
+        // Within the drain grace of 250 ms, which is not used up.
         Tokio.sleep(150 * MS).await;
         sidecar.gates.open(sidecar.server());
-        let mut server = next(&sidecar.backend).await;
+        let mut endpoint = next(&sidecar.backend).await;
         assert!(client.hear().await.starts_with("HTTP/1.1 503"));
-        assert_eq!(server.hear().await, "", "not a byte");
+        assert_eq!(endpoint.hear().await, "", "nothing is sent");
         assert_eq!(sidecar.counters.dispatch_barred.get(), 1);
     });
 }
 
-/// A sign of life is no answer: what is silent after it is asked again as if it had said nothing.
+/// An interim response is no response: a call that is silent after it is repeated like any silent call.
 #[test]
 fn a_call_that_is_silent_after_a_heartbeat_is_made_again() {
     story_with(pushed, |sidecar| async move {
-        let mut beats = next(&sidecar.discovery).await;
-        beats.hear().await;
-        beats.say("HTTP/1.1 102 Processing\r\n\r\n").await;
+        let mut heartbeat = next(&sidecar.discovery).await;
+        heartbeat.hear().await;
+        heartbeat.say("HTTP/1.1 102 Processing\r\n\r\n").await;
         let mut again = next(&sidecar.discovery).await;
         assert!(again.hear().await.contains("?from=1&hold_ms=0 "));
-        assert_eq!(beats.hear().await, "");
+        assert_eq!(heartbeat.hear().await, "");
         assert_eq!(sidecar.counters.discovery_silent.get(), 1);
     });
 }
 
 #[test]
-fn a_drain_whose_list_is_reset_on_its_way_binds_once_its_row_has_come() {
+fn a_drain_in_a_list_that_breaks_off_counts_once_its_entry_has_arrived() {
     story(|sidecar| async move {
         let mut discovery = next(&sidecar.discovery).await;
         discovery.hear().await;
-        let list = told(2, false, &row(&sidecar, "draining"));
+        let list = list_response(2, false, &row(&sidecar, "draining"));
         discovery.say(&list[..list.len() - 3]).await;
         rest().await;
         discovery.reset();
         let mut again = next(&sidecar.discovery).await;
-        assert!(again.hear().await.contains("?from=1&hold_ms=0 "), "the rest is owed");
+        assert!(again.hear().await.contains("?from=1&hold_ms=0 "), "it asks for the rest at once");
         assert!(!reaches(&sidecar).await);
         assert_eq!((sidecar.counters.discovery_bad.get(), sidecar.counters.discovery_failures.get()), (1, 0));
     });
 }
 
-/// The list that the configuration holds is old; what discovery answers at the start goes before it, and all drain.
+/// The configured list is old: the first response of discovery takes precedence, even if every endpoint in it
+/// is draining.
 #[test]
-fn a_list_that_is_out_of_date_at_the_start_gives_way_and_a_whole_tier_may_drain() {
+fn an_outdated_configured_list_is_replaced_and_a_whole_tier_may_drain() {
     story(|sidecar| async move {
         let mut discovery = next(&sidecar.discovery).await;
         assert!(discovery.hear().await.contains("?from=1&"));
-        discovery.say(&told(40, true, &row(&sidecar, "draining"))).await;
+        discovery.say(&list_response(40, true, &row(&sidecar, "draining"))).await;
         assert!(discovery.hear().await.contains("?from=40&"));
         let mut client = Peer::to(&sidecar).await;
         client.say(BOOK).await;
-        let answer = client.hear().await;
-        assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("Retry-After: "), "{answer}");
+        let response = client.hear().await;
+        assert!(response.starts_with("HTTP/1.1 503") && response.contains("Retry-After: "), "{response}");
         assert_eq!(sidecar.counters.dispatches.get(), 0);
     });
 }
 
-// ---- Clients that leave ---------------------------------------------------------------------------------------
+// ---- Clients that disconnect
+// -----------------------------------------------------------------------------------
 
-/// Leaves the sidecar's thread, which is the test's, standing until then: what comes due or comes in meanwhile crosses.
-fn stand_still(time: Duration) {
+/// Blocks the thread of the test and the sidecar for this time, so that everything that becomes due or arrives
+/// meanwhile happens at once.
+fn block_thread(time: Duration) {
     std::thread::sleep(time);
 }
 
-/// A client that is gone: by an orderly end or by a reset.
-fn gone(client: Peer, reset: bool) {
+/// Disconnects a client: by an orderly end or by a reset.
+fn disconnect(client: Peer, reset: bool) {
     if reset { client.reset() } else { drop(client) }
 }
 
 #[test]
-fn whoever_leaves_while_a_connection_is_made_has_nothing_sent() {
+fn nothing_is_sent_for_a_client_that_disconnects_while_connecting() {
     for reset in [false, true] {
         confirmed_story_with(slow_dials, |sidecar| async move {
             sidecar.gates.shut(sidecar.server());
             let mut client = Peer::to(&sidecar).await;
             client.say(BOOK).await;
             sidecar.gates.waits().await;
-            gone(client, reset);
+            disconnect(client, reset);
             rest().await;
             sidecar.gates.open(sidecar.server());
             rest().await;
@@ -243,9 +261,10 @@
     }
 }
 
-/// A body that waits for room is not read, and so its client's end is not: it is looked for.
+/// A body that waits for room is not read, so the client's disconnect is not seen by reading and has to be
+/// polled for.
 #[test]
-fn whoever_leaves_while_its_body_waits_for_room_has_nothing_sent() {
+fn nothing_is_sent_for_a_client_that_disconnects_while_its_body_waits_for_room() {
     for reset in [false, true] {
         confirmed_story_with(slow_dials, |sidecar| async move {
             sidecar.gates.shut(sidecar.server());
@@ -253,7 +272,7 @@
             client.say("POST /book HTTP/1.1\r\nX-Call-Id: 9\r\nX-Budget: 9000m\r\nContent-Length: 3000000\r\n\r\n").await;
             client.say(&"b".repeat(1_300_000)).await;
             sidecar.gates.waits().await;
-            gone(client, reset);
+            disconnect(client, reset);
             Tokio.sleep(Duration::from_millis(90)).await;
             assert_eq!(sidecar.counters.withdrawn.get(), 1, "reset: {reset}");
             sidecar.gates.open(sidecar.server());
@@ -264,17 +283,17 @@
 }
 
 #[test]
-fn whoever_leaves_between_two_attempts_has_no_further_one() {
+fn no_attempt_follows_for_a_client_that_disconnects_between_two_attempts() {
     for reset in [false, true] {
         confirmed_story_with(slow_dials, |sidecar| async move {
             let mut client = Peer::to(&sidecar).await;
             client.say(PLAN).await;
-            let mut server = next(&sidecar.backend).await;
-            server.hear().await;
+            let mut endpoint = next(&sidecar.backend).await;
+            endpoint.hear().await;
             sidecar.gates.shut(sidecar.server());
-            server.reset();
+            endpoint.reset();
             sidecar.gates.waits().await;
-            gone(client, reset);
+            disconnect(client, reset);
             rest().await;
             sidecar.gates.open(sidecar.server());
             rest().await;
@@ -285,46 +304,46 @@
     }
 }
 
-/// The end of a client that sent more than is read ahead lies behind what it sent; it is seen all the same, and of the flood
-/// nothing is held.
+/// The disconnect of a client that has sent more than is read ahead lies behind those bytes. It is seen all the
+/// same, and the bytes are not kept.
 #[test]
-fn whoever_sends_a_flood_behind_its_request_and_goes_is_gone() {
+fn a_disconnect_behind_a_flood_of_bytes_is_seen() {
     confirmed_story(|sidecar| async move {
         for (id, reset) in [(1, false), (2, true)] {
             let mut client = Peer::to(&sidecar).await;
             client.say(&PLAN.replace(": 1", &format!(": {id}"))).await;
-            let mut server = next(&sidecar.backend).await;
-            server.hear().await;
+            let mut endpoint = next(&sidecar.backend).await;
+            endpoint.hear().await;
             let flood = "GET /plan/2 HTTP/1.1\r\nX-Pad: 0123456789\r\n\r\n".repeat(20_000);
             client.say(&flood).await;
-            gone(client, reset);
-            assert_eq!(server.hear().await, "", "its attempt is given up");
+            disconnect(client, reset);
+            assert_eq!(endpoint.hear().await, "", "its attempt is cancelled");
             assert_eq!((sidecar.counters.withdrawn.get(), sidecar.counters.dispatches.get()), (id, id));
         }
     });
 }
 
-/// One that sends a flood and stays gets the answer to its request, and the connection ends with it.
+/// A client that sends a flood of bytes and stays gets its response, and the connection closes with it.
 #[test]
-fn a_flood_behind_a_request_ends_its_connection_with_the_answer() {
+fn a_flood_behind_a_request_closes_its_connection_with_the_response() {
     confirmed_story(|sidecar| async move {
         let mut client = Peer::to(&sidecar).await;
         client.say(PLAN).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
         client.say(&"x".repeat(200_000)).await;
         rest().await;
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").await;
-        let answer = client.hear().await;
-        assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("Connection: close"), "{answer}");
+        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").await;
+        let response = client.hear().await;
+        assert!(response.starts_with("HTTP/1.1 200") && response.contains("Connection: close"), "{response}");
         assert_eq!(client.hear().await, "");
         assert_eq!(sidecar.counters.sessions.get(), 1);
     });
 }
 
-/// Many that come and leave in one instant: nothing of them is sent on.
+/// Many clients that connect and disconnect at the same moment: none of their requests is sent on.
 #[test]
-fn a_burst_that_leaves_at_once_has_nothing_sent() {
+fn nothing_is_sent_for_a_burst_that_disconnects_at_once() {
     story_with(slow_dials, |sidecar| async move {
         sidecar.gates.shut(sidecar.server());
         let mut burst = Vec::new();
@@ -334,30 +353,30 @@
             burst.push(client);
         }
         rest().await;
-        let taken = sidecar.counters.sessions.get();
+        let accepted = sidecar.counters.sessions.get();
         for (id, client) in burst.into_iter().enumerate() {
-            gone(client, id % 2 == 0);
+            disconnect(client, id % 2 == 0);
         }
-        stand_still(20 * MS);
+        block_thread(20 * MS);
         sidecar.gates.open(sidecar.server());
         rest().await;
         let counters = &sidecar.counters;
-        let denied = counters.denied.get();
-        assert_eq!((taken, counters.withdrawn.get() + denied), (60, 60));
+        let rejected = counters.denied.get();
+        assert_eq!((accepted, counters.withdrawn.get() + rejected), (60, 60));
         assert_eq!((counters.backend_connections.get(), counters.served.get()), (0, 0));
     });
 }
 
-/// A client that ends its sending has closed, as far as anybody can tell; the protocol page knows no half close of a client.
+/// A client that closes its sending side counts as disconnected: the protocol has no half-close for clients.
 #[test]
-fn an_end_of_sending_counts_as_a_leave_also_behind_a_request_that_was_sent_early() {
+fn a_half_close_counts_as_a_disconnect_even_behind_a_pipelined_request() {
     confirmed_story(|sidecar| async move {
         let mut client = Peer::to(&sidecar).await;
         client.say(&format!("{PLAN}{}", PLAN.replace(": 1", ": 7"))).await;
-        let mut server = next(&sidecar.backend).await;
-        assert!(server.hear().await.contains("X-Call-Id: 1\r\n"));
+        let mut endpoint = next(&sidecar.backend).await;
+        assert!(endpoint.hear().await.contains("X-Call-Id: 1\r\n"));
         tokio::io::AsyncWriteExt::shutdown(&mut client.0).await.expect("a socket");
-        assert_eq!(server.hear().await, "");
+        assert_eq!(endpoint.hear().await, "");
         rest().await;
         assert_eq!((sidecar.counters.withdrawn.get(), sidecar.counters.sessions.get()), (1, 1));
     });
@@ -365,141 +384,150 @@
 
 // ---- Shutdown -------------------------------------------------------------------------------------------------
 
-/// So long after SIGTERM a sidecar of these settings (3 s, kill after 3.7 s) takes requests.
-const LINGER: Duration = Duration::from_millis(2500);
+/// Time after SIGTERM during which a sidecar with these settings (3 s, killed after 3.7 s) accepts requests.
+const ACCEPTS_FOR: Duration = Duration::from_millis(2500);
 
-/// A connection that the machine has accepted is the sidecar's, though it lets its listener go in the same instant.
+/// A connection accepted by the operating system belongs to the sidecar, even if the listener closes at that
+/// moment.
 #[test]
-fn a_connection_that_waits_when_the_listener_is_let_go_is_served() {
-    // Another that waited before it may have left at once.
+fn a_connection_that_waits_when_the_listener_closes_is_served() {
+    // Connections that waited before it may have been closed already.
     for failing_accepts in [0, 1, 3] {
         story(|sidecar| async move {
             let _discovery = confirm_all(&sidecar);
             sidecar.life.begin();
-            Tokio.sleep(LINGER - 100 * MS).await;
-            // Both lie there when the sidecar goes on: its time is over, and the request has come.
+            Tokio.sleep(ACCEPTS_FOR - 100 * MS).await;
+            // Both are pending when the sidecar continues: the end of its time, and the request.
             let mut late = std::net::TcpStream::connect(&sidecar.address).expect("it listens");
             std::io::Write::write_all(&mut late, PLAN.as_bytes()).expect("a request");
             sidecar.gates.failing_accepts.set(failing_accepts);
-            stand_still(200 * MS);
+            block_thread(200 * MS);
             late.set_nonblocking(true).expect("a socket");
             let mut late = Peer(tokio::net::TcpStream::from_std(late).expect("a socket"));
-            let mut server = next(&sidecar.backend).await;
-            server.hear().await;
-            server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-            let answer = late.hear().await;
-            assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("Connection: close"), "{answer}");
+            let mut endpoint = next(&sidecar.backend).await;
+            endpoint.hear().await;
+            endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+            let response = late.hear().await;
+            assert!(
+                response.starts_with("HTTP/1.1 200") && response.contains("Connection: close"),
+                "{response}"
+            );
             sidecar.ended.await.expect("no panic").expect("a clean end");
         });
     }
 }
 
-/// A request that comes on a resting connection in the moment in which that is closed is served; one that comes after is not
-/// read as one, and its connection ends in order.
+/// A request that arrives on an idle connection just as it is closed is served. One that arrives later is not
+/// parsed, and its connection closes without a reset.
 #[test]
-fn a_request_that_crosses_the_close_of_a_resting_connection_is_served_or_its_close_is_clean() {
+fn a_request_that_crosses_the_close_of_an_idle_connection_is_served_or_closed_cleanly() {
     confirmed_story(|sidecar| async move {
         let mut clients = Vec::new();
-        // More than may linger while others need their places.
+        // More connections than may linger while others need their slots.
         for _ in 0..20 {
             let mut client = Peer::to(&sidecar).await;
             client.say("GET /up HTTP/1.1\r\n\r\n").await;
             assert!(client.hear().await.starts_with("HTTP/1.1 200"));
             clients.push(client);
         }
-        let mut crosses = clients.remove(0);
+        let mut crossing = clients.remove(0);
         sidecar.life.begin();
-        Tokio.sleep(LINGER - 100 * MS).await;
-        crosses.say(PLAN).await;
-        stand_still(200 * MS);
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        for after in &mut clients {
-            assert_eq!(after.0.peek(&mut [0]).await.expect("an orderly end"), 0);
+        Tokio.sleep(ACCEPTS_FOR - 100 * MS).await;
+        crossing.say(PLAN).await;
+        block_thread(200 * MS);
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
+        for idle in &mut clients {
+            assert_eq!(idle.0.peek(&mut [0]).await.expect("an orderly end"), 0);
         }
         for _ in 0..3 {
-            for after in &mut clients {
-                after.say(&PLAN.replace(": 1", ": 9")).await;
+            for idle in &mut clients {
+                idle.say(&PLAN.replace(": 1", ": 9")).await;
             }
             Tokio.sleep(10 * MS).await;
         }
-        for after in &mut clients {
-            assert_eq!(after.end().await.expect("no reset"), "");
+        for idle in &mut clients {
+            assert_eq!(idle.end().await.expect("no reset"), "");
         }
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-        assert!(crosses.hear().await.contains("Connection: close"));
+        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+        assert!(crossing.hear().await.contains("Connection: close"));
         assert_eq!(sidecar.counters.sessions.get(), 1);
         sidecar.ended.await.expect("no panic").expect("a clean end");
     });
 }
 
-/// What is passed on piece by piece goes on to its end, though the time for new requests is over.
+/// A response that is being forwarded continues to its end although the time for new requests is over.
 #[test]
-fn an_answer_that_is_half_passed_on_at_sigterm_comes_whole() {
+fn a_response_half_forwarded_at_sigterm_is_completed() {
     confirmed_story(|sidecar| async move {
         let mut client = Peer::to(&sidecar).await;
         client.say(PLAN).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
         let half = "x".repeat(100_000);
-        server.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n{half}")).await;
+        endpoint.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n{half}")).await;
         sidecar.life.begin();
-        Tokio.sleep(LINGER + 50 * MS).await;
+        Tokio.sleep(ACCEPTS_FOR + 50 * MS).await;
         assert!(!sidecar.ended.is_finished());
-        server.say(&half).await;
-        let answer = client.hear().await;
-        assert!(answer.starts_with("HTTP/1.1 200") && answer.len() > 200_000, "{}", answer.len());
+        endpoint.say(&half).await;
+        let response = client.hear().await;
+        assert!(response.starts_with("HTTP/1.1 200") && response.len() > 200_000, "{}", response.len());
         sidecar.ended.await.expect("no panic").expect("a clean end");
     });
 }
 
-/// A backend server hangs just then: its client has an answer before SIGKILL may come.
+/// An endpoint hangs at SIGTERM: its client gets a response before SIGKILL may come.
 #[test]
-fn a_backend_server_that_hangs_at_sigterm_costs_its_request_a_late_answer_and_no_more() {
+fn an_endpoint_that_hangs_at_sigterm_costs_its_request_an_error_and_no_more() {
     confirmed_story(|sidecar| async move {
         sidecar.life.begin();
         Tokio.sleep(1000 * MS).await;
         let mut client = Peer::to(&sidecar).await;
         client.say(BOOK).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        let answer = client.hear().await;
-        assert!(answer.starts_with("HTTP/1.1 50") && answer.contains("Connection: close"), "{answer}");
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
+        let response = client.hear().await;
+        assert!(response.starts_with("HTTP/1.1 50") && response.contains("Connection: close"), "{response}");
         sidecar.ended.await.expect("no panic").expect("a clean end");
         assert_eq!(sidecar.counters.dispatches.get(), 1);
     });
 }
 
-/// Bytes that nobody reads lie there when a bad request is answered: the answer comes whole all the same, and an end.
+/// Unread bytes are pending when an invalid request is answered: the response arrives completely, followed by
+/// an orderly end.
 #[test]
-fn an_answer_over_unread_bytes_is_not_eaten_by_a_reset() {
+fn a_response_over_unread_bytes_is_not_lost_to_a_reset() {
     story(|sidecar| async move {
         for _ in 0..5 {
             let mut client = Peer::to(&sidecar).await;
             client.say("GET /nothing HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget: 9m\r\n\r\n").await;
             client.say(&"x".repeat(300_000)).await;
-            let answer = client.end().await.expect("no reset");
-            assert!(answer.starts_with("HTTP/1.1 400 ") && answer.contains("Connection: close"), "{answer}");
+            let response = client.end().await.expect("no reset");
+            assert!(
+                response.starts_with("HTTP/1.1 400 ") && response.contains("Connection: close"),
+                "{response}"
+            );
         }
         assert_eq!((sidecar.counters.bad_requests.get(), sidecar.counters.sessions.get()), (5, 0));
     });
 }
 
-/// A request that was half read at SIGTERM and is whole when nothing can come of it any more is denied, and not begun.
+/// A request half read at SIGTERM, and complete when no attempt can finish any more, is rejected without an
+/// attempt.
 #[test]
-fn a_request_that_is_whole_too_late_for_an_attempt_is_denied_at_once() {
+fn a_request_complete_too_late_for_an_attempt_is_rejected_at_once() {
     story(|sidecar| async move {
         sidecar.life.begin();
-        Tokio.sleep(LINGER - 100 * MS).await;
+        Tokio.sleep(ACCEPTS_FOR - 100 * MS).await;
         let mut half = Peer::to(&sidecar).await;
         let (head, rest) = PLAN.split_at(20);
         half.say(head).await;
-        // Answers are due 3.4 s after SIGTERM.
+        // Responses are due 3.4 s after SIGTERM.
         Tokio.sleep(1100 * MS).await;
         half.say(rest).await;
-        let answer = half.hear().await;
-        assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("Retry-After: "), "{answer}");
-        assert!(answer.contains("Connection: close"));
+        let response = half.hear().await;
+        assert!(response.starts_with("HTTP/1.1 503") && response.contains("Retry-After: "), "{response}");
+        assert!(response.contains("Connection: close"));
         assert_eq!((sidecar.counters.dispatches.get(), sidecar.counters.overdue.get()), (0, 0));
         sidecar.ended.await.expect("no panic").expect("a clean end");
     });
@@ -509,20 +537,21 @@
 
 const PAY: &str = "POST /pay HTTP/1.1\r\nX-Call-Id: 3\r\nX-Budget: 30000m\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi";
 
-/// The connection for a repeat comes up after the window in which backend servers drop repeats: nothing is written to it.
+/// The connection for a retry comes up after the window in which endpoints recognise duplicates: nothing is
+/// written to it.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_its_window_is_not_sent() {
+fn a_retry_whose_connection_comes_up_after_its_window_is_not_sent() {
     confirmed_story_with(
         |text| slow_dials(text).replace("\"key-ttl-ns\":5000000000", "\"key-ttl-ns\":800000000"),
         |sidecar| async move {
             let mut client = Peer::to(&sidecar).await;
             client.say(PAY).await;
-            let mut server = next(&sidecar.backend).await;
-            assert!(server.hear().await.ends_with("hi"));
+            let mut endpoint = next(&sidecar.backend).await;
+            assert!(endpoint.hear().await.ends_with("hi"));
             sidecar.gates.shut(sidecar.server());
-            server.reset();
+            endpoint.reset();
             sidecar.gates.waits().await;
-            // The key is dropped by all: to be told to come again is harmless.
+            // All endpoints have dropped the key by now, so advising the client to retry does no harm.
             assert!(client.hear().await.starts_with("HTTP/1.1 503"));
             sidecar.gates.open(sidecar.server());
             rest().await;
@@ -532,69 +561,71 @@
     );
 }
 
-/// In time it goes out; and a class that must never run twice does not, whatever the settings say of windows.
+/// Within the window the retry is sent. A request of a class that must never run twice is not retried, whatever
+/// the settings say about windows.
 #[test]
-fn a_repeat_in_its_window_is_sent_and_an_unsafe_request_never() {
+fn a_retry_in_its_window_is_sent_and_an_unsafe_request_is_not_retried() {
     confirmed_story_with(slow_dials, |sidecar| async move {
         let mut client = Peer::to(&sidecar).await;
         client.say(PAY).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
         sidecar.gates.shut(sidecar.server());
-        server.reset();
+        endpoint.reset();
         sidecar.gates.waits().await;
         sidecar.gates.open(sidecar.server());
-        let mut server = next(&sidecar.backend).await;
-        assert!(server.hear().await.ends_with("hi"));
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+        let mut endpoint = next(&sidecar.backend).await;
+        assert!(endpoint.hear().await.ends_with("hi"));
+        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
         assert!(client.hear().await.starts_with("HTTP/1.1 200"));
         client.say(BOOK).await;
         rest().await;
-        // On the connection that was kept, or on another.
-        let mut server = tokio::select! {
-            _ = Tokio.sleep(50 * MS) => server,
+        // On the pooled connection or on a new one.
+        let mut endpoint = tokio::select! {
+            _ = Tokio.sleep(50 * MS) => endpoint,
             another = next(&sidecar.backend) => another,
         };
-        assert!(server.hear().await.contains("/book"));
-        server.reset();
+        assert!(endpoint.hear().await.contains("/book"));
+        endpoint.reset();
         assert!(client.hear().await.starts_with("HTTP/1.1 502"));
         assert_eq!((sidecar.counters.dispatches.get(), sidecar.counters.dispatch_outlived.get()), (3, 0));
     });
 }
 
-/// The server closes a connection that was kept as it is taken for the next request: that may have run.
+/// The endpoint closes a pooled connection as it is reused for the next request, which may have run.
 #[test]
-fn a_kept_connection_that_ends_as_it_is_taken_may_have_run_its_request() {
+fn a_pooled_connection_closed_as_it_is_reused_may_have_run_its_request() {
     confirmed_story(|sidecar| async move {
         let mut client = Peer::to(&sidecar).await;
         for (request, status) in [(BOOK, "502"), (PLAN, "200")] {
             client
                 .say("POST /book HTTP/1.1\r\nX-Call-Id: 8\r\nX-Budget: 2000m\r\nContent-Length: 0\r\n\r\n")
                 .await;
-            let mut server = next(&sidecar.backend).await;
-            server.hear().await;
-            server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+            let mut endpoint = next(&sidecar.backend).await;
+            endpoint.hear().await;
+            endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
             assert!(client.hear().await.starts_with("HTTP/1.1 200"));
             rest().await;
             client.say(request).await;
-            assert!(!server.hear().await.is_empty(), "on the connection that was kept");
-            drop(server);
+            assert!(!endpoint.hear().await.is_empty(), "on the pooled connection");
+            drop(endpoint);
             if request == PLAN {
-                let mut server = next(&sidecar.backend).await;
-                server.hear().await;
-                server.say("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+                let mut endpoint = next(&sidecar.backend).await;
+                endpoint.hear().await;
+                endpoint.say("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
             }
-            let answer = client.hear().await;
-            assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{answer}");
+            let response = client.hear().await;
+            assert!(response.starts_with(&format!("HTTP/1.1 {status}")), "{response}");
         }
         assert_eq!((sidecar.counters.backend_reused.get(), sidecar.counters.dispatch_reset.get()), (2, 2));
     });
 }
 
-/// A reset is no end, a 503 without the mark may have run, and what never ends is given up: none is served, none is sent again.
+/// A reset is no end of a response, a 503 without X-Rejected may have run, and a response that never ends is
+/// cancelled: none of them is served, and none is retried.
 #[test]
-fn what_is_no_whole_answer_is_not_served_and_an_unsafe_request_not_sent_again() {
-    for spoilt in [
+fn an_incomplete_response_is_not_served_and_an_unsafe_request_not_retried() {
+    for invalid in [
         "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart",
         "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\npart",
@@ -605,70 +636,73 @@
         confirmed_story(|sidecar| async move {
             let mut client = Peer::to(&sidecar).await;
             client.say(BOOK).await;
-            let mut server = next(&sidecar.backend).await;
-            server.hear().await;
-            server.say(spoilt).await;
-            if spoilt.contains("100 Continue") {
-                // It may come for ever.
+            let mut endpoint = next(&sidecar.backend).await;
+            endpoint.hear().await;
+            endpoint.say(invalid).await;
+            if invalid.contains("100 Continue") {
+                // Interim responses may arrive forever.
                 for _ in 0..20 {
-                    let more = tokio::io::AsyncWriteExt::write_all(&mut server.0, spoilt.as_bytes()).await;
+                    let more = tokio::io::AsyncWriteExt::write_all(&mut endpoint.0, invalid.as_bytes()).await;
                     if more.is_err() {
                         break;
                     }
                 }
             }
             rest().await;
-            server.reset();
-            let answer = client.hear().await;
-            assert!(answer.starts_with("HTTP/1.1 502") && !answer.contains("part"), "{spoilt}: {answer}");
+            endpoint.reset();
+            let response = client.hear().await;
+            assert!(
+                response.starts_with("HTTP/1.1 502") && !response.contains("part"),
+                "{invalid}: {response}"
+            );
             assert_eq!(
                 (sidecar.counters.dispatches.get(), sidecar.counters.served.get()),
                 (1, 0),
-                "{spoilt}"
+                "{invalid}"
             );
         });
     }
 }
 
-/// The attempt breaks as its time is over: one answer, and nothing is sent any more.
+/// The attempt breaks as its time runs out: one final response, and no further attempt.
 #[test]
-fn an_attempt_that_breaks_as_the_deadline_passes_is_not_made_again() {
+fn an_attempt_that_breaks_as_the_deadline_passes_is_not_retried() {
     confirmed_story(|sidecar| async move {
         let mut client = Peer::to(&sidecar).await;
         client.say(&PLAN.replace("30000m", "400m")).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
         Tokio.sleep(200 * MS).await;
-        server.reset();
-        stand_still(300 * MS);
+        endpoint.reset();
+        block_thread(300 * MS);
         assert!(client.hear().await.starts_with("HTTP/1.1 50"));
         let counters = &sidecar.counters;
         assert_eq!((counters.dispatches.get(), counters.backend_connections.get()), (1, 1));
     });
 }
 
-/// A server whose connections never come up: each attempt ends with its time, and nothing has run.
+/// An endpoint whose connections never come up: each attempt times out, and nothing has run.
 #[test]
-fn connections_that_never_come_up_end_in_a_denial() {
+fn connections_that_never_come_up_end_in_a_rejection() {
     confirmed_story(|sidecar| async move {
         sidecar.gates.shut(sidecar.server());
         let mut client = Peer::to(&sidecar).await;
         client.say(BOOK).await;
-        let answer = client.hear().await;
-        assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("Retry-After: "), "{answer}");
+        let response = client.hear().await;
+        assert!(response.starts_with("HTTP/1.1 503") && response.contains("Retry-After: "), "{response}");
         let counters = &sidecar.counters;
         assert_eq!((counters.dispatch_unconnected.get(), counters.dispatches.get()), (3, 3));
-        // What would come up now has no request any more.
+        // Connections that come up now have no request any more.
         sidecar.gates.open(sidecar.server());
         rest().await;
         assert_eq!(counters.backend_connections.get(), 0);
     });
 }
 
-/// Connections that are being made count against the cap, each once, and give their places back however they end; and one
-/// that has rested nearly as long as the other side keeps it is not used again.
+/// Connections in progress count against the limit, each once, and free their slots however they end. A
+/// connection that has been idle nearly as long as the endpoint keeps it is not reused.
 #[test]
-fn the_cap_holds_under_slow_connections_and_a_rested_one_is_not_taken_near_its_idle_time() {
+fn the_pool_limit_holds_for_slow_connections_and_none_is_reused_near_its_idle_time() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     runtime.expect("a runtime").block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -681,36 +715,36 @@
         {
             let (mut one, mut two) = (Box::pin(get()), Box::pin(get()));
             for slow in [&mut one, &mut two] {
-                assert!(Tokio.timeout(10 * MS, slow).await.is_err(), "it is being made");
+                assert!(Tokio.timeout(10 * MS, slow).await.is_err(), "still connecting");
             }
-            assert!(get().await.is_err(), "there is no place for a third");
+            assert!(get().await.is_err(), "no room for a third");
             drop(one);
-            // One was given up, one runs out of time: both places are free.
+            // One was cancelled, one timed out: both slots are free.
             assert!(two.await.is_err());
         }
         platform.0.open(at);
-        let (one, two) = (get().await.expect("a place"), get().await.expect("a place"));
+        let (one, two) = (get().await.expect("room"), get().await.expect("room"));
         assert!(get().await.is_err());
         pool.put(to, one);
         pool.put(to, two);
         tokio::time::advance(4 * second).await;
-        drop(get().await.expect("one that has rested"));
+        drop(get().await.expect("an idle connection"));
         assert_eq!(counters.backend_reused.get(), 1);
         tokio::time::advance(500 * MS).await;
-        get().await.expect("a new one");
+        get().await.expect("a new connection");
         assert_eq!((counters.backend_reused.get(), counters.backend_connections.get()), (1, 3));
     });
 }
 
-/// Something of discovery has come that this process has not read for longer than a short list takes to read: no request
-/// begins before it is read, and none where it bars.
+/// Discovery has sent bytes that this process does not read for longer than a short list takes to read: no
+/// attempt starts before they are read, and none to an endpoint that they exclude.
 #[test]
-fn no_request_begins_while_a_notice_lies_unread_however_long_that_takes() {
+fn no_attempt_starts_while_a_notification_is_unread() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let listener = || TcpListener::bind("127.0.0.1:0");
-        let (server, discovery) = (listener().await.expect("a port"), listener().await.expect("a port"));
-        let address = server.local_addr().expect("bound");
+        let (endpoint, discovery) = (listener().await.expect("a port"), listener().await.expect("a port"));
+        let address = endpoint.local_addr().expect("bound");
         let directory = Directory::new(vec!["a".into()], Duration::ZERO, Tokio.unix());
         let list = |status: &str| {
             let text = format!(
@@ -733,34 +767,34 @@
         let attempt = tokio::task::spawn_local(async move {
             exchanger.run(to, || PLAN.as_bytes().into(), None, ends, || {}).await.map(|reply| reply.response.status)
         });
-        let mut server = next(&server).await;
+        let mut endpoint = next(&endpoint).await;
         Tokio.sleep(300 * MS).await;
         assert!(!attempt.is_finished());
-        // It is read, and bars.
+        // The list is read, and the endpoint is draining.
         drop(notices);
         directory.bar(&list("draining").records, Some(2));
-        let ended = Tokio.timeout(second, attempt).await.expect("it is not sent, so it ends at once");
-        assert!(ended.expect("no panic").is_err(), "it is barred");
-        assert_eq!(server.hear().await, "", "not a byte");
+        let ended = Tokio.timeout(second, attempt).await.expect("it is not sent and ends at once");
+        assert!(ended.expect("no panic").is_err(), "it is not sent");
+        assert_eq!(endpoint.hear().await, "", "nothing is sent");
     });
 }
 
-/// A list has lapsed when new settings say that lists are pushed from now on: it holds again, as an agent that tells nothing
-/// has nothing to tell.
+/// A list has expired when new settings say that lists are pushed from now on. It is valid again: a pushing
+/// discovery that sends nothing has no changes.
 #[test]
-fn a_list_that_has_lapsed_holds_again_where_lists_are_pushed_from_now_on() {
+fn an_expired_list_is_valid_again_once_lists_are_pushed() {
     story(|sidecar| async move {
         let mut silent = next(&sidecar.discovery).await;
         silent.hear().await;
         Tokio.sleep(2700 * MS).await;
-        assert!(!reaches(&sidecar).await, "nobody has confirmed it");
+        assert!(!reaches(&sidecar).await, "the list is not confirmed");
         let mut settings = sidecar.settings.clone();
         settings.discovery = cometcroft::Discovery::Push;
         sidecar.control.source.move_to(sidecar.discovery.local_addr().expect("bound"), &settings);
-        let mut agent = next(&sidecar.discovery).await;
-        agent.hear().await;
-        agent.say(&told(2, true, &row(&sidecar, "up"))).await;
-        assert!(agent.hear().await.contains("?from=2&"));
+        let mut discovery = next(&sidecar.discovery).await;
+        discovery.hear().await;
+        discovery.say(&list_response(2, true, &row(&sidecar, "up"))).await;
+        assert!(discovery.hear().await.contains("?from=2&"));
         assert!(reaches(&sidecar).await);
     });
 }
--- a/crates/sidecar/tests/loopback.rs
+++ b/crates/sidecar/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! A whole sidecar on loopback: its clients, backend servers and discovery are a few lines each, played by
-//! the test itself, step by step.
+//! A complete sidecar on loopback. Its clients, endpoints and discovery are a few lines each, played step by
+//! step by the test itself.
 #![allow(clippy::disallowed_methods)]
 mod common;
 
@@ -10,19 +10,19 @@
 use tokio::net::{TcpListener, TcpStream};
 
 #[test]
-fn a_request_goes_through_and_its_connections_are_kept() {
+fn a_request_is_served_and_its_connections_are_reused() {
     confirmed_story(|sidecar| async move {
         let mut client = Peer::to(&sidecar).await;
         client.say("GET /up HTTP/1.1\r\n\r\n").await;
         assert!(client.hear().await.starts_with("HTTP/1.1 200"));
         client.say(PLAN).await;
-        let mut server = next(&sidecar.backend).await;
+        let mut endpoint = next(&sidecar.backend).await;
         for body in ["one", "two"] {
-            let request = server.hear().await;
+            let request = endpoint.hear().await;
             assert!(request.starts_with("GET /plan/1 HTTP/1.1\r\n") && request.contains("X-Call-Id: 1\r\n"));
-            server.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{body}")).await;
-            let answer = client.hear().await;
-            assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with(body), "{answer}");
+            endpoint.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{body}")).await;
+            let response = client.hear().await;
+            assert!(response.starts_with("HTTP/1.1 200") && response.ends_with(body), "{response}");
             rest().await;
             client.say(PLAN).await;
         }
@@ -32,19 +32,19 @@
 }
 
 #[test]
-fn a_connection_that_was_closed_is_not_used_again() {
+fn a_closed_connection_is_not_reused() {
     confirmed_story(|sidecar| async move {
         let mut client = Peer::to(&sidecar).await;
-        // What follows an answer unasked makes a connection as useless as its end does.
+        // Unexpected bytes after a response make a connection as unusable as its end does.
         for after in ["", "HTTP/1.1 408 Late\r\n\r\n"] {
             client.say(BOOK).await;
-            let mut server = next(&sidecar.backend).await;
-            assert!(server.hear().await.ends_with("\r\n\r\nhi"));
-            server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+            let mut endpoint = next(&sidecar.backend).await;
+            assert!(endpoint.hear().await.ends_with("\r\n\r\nhi"));
+            endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
             assert!(client.hear().await.starts_with("HTTP/1.1 200"));
-            server.say(after).await;
+            endpoint.say(after).await;
             if after.is_empty() {
-                drop(server);
+                drop(endpoint);
             }
             rest().await;
         }
@@ -56,75 +56,75 @@
 }
 
 #[test]
-fn a_truncated_answer_is_a_reset_and_an_unsafe_request_fails_at_once() {
+fn a_truncated_response_is_a_reset_and_an_unsafe_request_fails_at_once() {
     confirmed_story(|sidecar| async move {
         let mut client = Peer::to(&sidecar).await;
         client.say(BOOK).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf").await;
-        drop(server);
-        let answer = client.hear().await;
-        assert!(answer.starts_with("HTTP/1.1 502") && !answer.contains("half"), "{answer}");
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
+        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf").await;
+        drop(endpoint);
+        let response = client.hear().await;
+        assert!(response.starts_with("HTTP/1.1 502") && !response.contains("half"), "{response}");
         assert_eq!((sidecar.counters.dispatch_reset.get(), sidecar.counters.dispatches.get()), (1, 1));
     });
 }
 
 #[test]
-fn a_spoilt_answer_is_an_error_that_ends_its_connection_and_a_safe_request_goes_again() {
+fn an_invalid_response_is_an_error_that_closes_its_connection_and_a_safe_request_is_retried() {
     confirmed_story(|sidecar| async move {
         let mut client = Peer::to(&sidecar).await;
         client.say(PLAN).await;
-        // The first promises more than comes, and its connection stays open.
-        for spoilt in ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "\u{2}noise without an end"] {
-            let mut server = next(&sidecar.backend).await;
-            server.hear().await;
-            server.say(spoilt).await;
-            assert_eq!(server.hear().await, "", "the connection is closed");
+        // The first states a longer body than it has, and its connection stays open.
+        for invalid in ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "\u{2}noise without an end"] {
+            let mut endpoint = next(&sidecar.backend).await;
+            endpoint.hear().await;
+            endpoint.say(invalid).await;
+            assert_eq!(endpoint.hear().await, "", "the connection is closed");
         }
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole").await;
-        let answer = client.hear().await;
-        assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("whole"), "{answer}");
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
+        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole").await;
+        let response = client.hear().await;
+        assert!(response.starts_with("HTTP/1.1 200") && response.ends_with("whole"), "{response}");
         let counters = &sidecar.counters;
         assert_eq!((counters.dispatch_error.get(), counters.answers_spoilt.get()), (2, 2));
     });
 }
 
 #[test]
-fn who_is_turned_away_everywhere_is_denied_with_advice() {
+fn a_request_rejected_by_every_endpoint_is_rejected_with_retry_after() {
     confirmed_story(|sidecar| async move {
         let mut client = Peer::to(&sidecar).await;
         client.say(BOOK).await;
-        let mut server = next(&sidecar.backend).await;
-        for further in [true, true, false] {
-            server.hear().await;
-            server.say("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n").await;
-            if further {
-                server = next(&sidecar.backend).await;
+        let mut endpoint = next(&sidecar.backend).await;
+        for more_attempts in [true, true, false] {
+            endpoint.hear().await;
+            endpoint.say("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n").await;
+            if more_attempts {
+                endpoint = next(&sidecar.backend).await;
             }
         }
-        let answer = client.hear().await;
-        assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("\r\nRetry-After: "), "{answer}");
+        let response = client.hear().await;
+        assert!(response.starts_with("HTTP/1.1 503") && response.contains("\r\nRetry-After: "), "{response}");
     });
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_dispatch_along() {
+fn a_client_that_disconnects_cancels_its_attempt() {
     confirmed_story(|sidecar| async move {
         let mut client = Peer::to(&sidecar).await;
         client.say(PLAN).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
         drop(client);
-        assert_eq!(server.hear().await, "", "its connection is closed");
+        assert_eq!(endpoint.hear().await, "", "its connection is closed");
         assert_eq!((sidecar.counters.withdrawn.get(), sidecar.counters.dispatch_cancelled.get()), (1, 1));
     });
 }
 
 #[test]
-fn what_can_not_be_a_request_is_never_dispatched() {
+fn an_invalid_request_is_never_sent() {
     story(|sidecar| async move {
         let head = "X-Call-Id: 1\r\nX-Budget: 100m\r\n";
         for (line, head, status) in [
@@ -145,9 +145,9 @@
         ] {
             let mut client = Peer::to(&sidecar).await;
             client.say(&format!("{line}\r\n{head}\r\n")).await;
-            let answer = client.hear().await;
-            assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{line}: {answer}");
-            assert!(answer.contains("Connection: close\r\n"));
+            let response = client.hear().await;
+            assert!(response.starts_with(&format!("HTTP/1.1 {status} ")), "{line}: {response}");
+            assert!(response.contains("Connection: close\r\n"));
             assert_eq!(client.hear().await, "", "the connection is closed");
         }
         assert_eq!((sidecar.counters.bad_requests.get(), sidecar.counters.sessions.get()), (14, 0));
@@ -155,15 +155,15 @@
 }
 
 #[test]
-fn an_id_that_is_open_is_refused_until_it_is_answered() {
+fn the_id_of_an_open_request_is_rejected_until_its_response() {
     confirmed_story(|sidecar| async move {
         let (mut client, mut other) = (Peer::to(&sidecar).await, Peer::to(&sidecar).await);
         client.say(PLAN).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
         other.say(PLAN).await;
         assert!(other.hear().await.starts_with("HTTP/1.1 400 "));
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
         assert!(client.hear().await.starts_with("HTTP/1.1 200 "));
         client.say(PLAN).await;
         assert!(next(&sidecar.backend).await.hear().await.contains("/plan"));
@@ -172,43 +172,43 @@
 }
 
 #[test]
-fn who_says_nothing_or_half_of_it_is_let_go_and_makes_room_before_who_is_served() {
+fn silent_and_incomplete_clients_are_disconnected_before_served_ones() {
     confirmed_story(|sidecar| async move {
         let (mut served, mut half) = (Peer::to(&sidecar).await, Peer::to(&sidecar).await);
         served.say("GET /up HTTP/1.1\r\n\r\n").await;
         assert!(served.hear().await.starts_with("HTTP/1.1 200"));
         half.say("GET /plan HTTP/1.1\r\nX-Call").await;
-        let mut mute = Peer::to(&sidecar).await;
+        let mut silent = Peer::to(&sidecar).await;
         let mut crowd = Vec::new();
         for _ in 0..110 {
             crowd.push(Peer::to(&sidecar).await);
         }
-        // All of these have been slow by the time that more come than there is room for.
+        // All of these count as slow by the time that more connect than there is room for.
         Tokio.sleep(std::time::Duration::from_millis(400)).await;
         for _ in 0..60 {
             crowd.push(Peer::to(&sidecar).await);
         }
-        assert_eq!(half.hear().await, "", "the first to make room");
-        assert_eq!(mute.hear().await, "", "and the next");
+        assert_eq!(half.hear().await, "", "disconnected first");
+        assert_eq!(silent.hear().await, "", "disconnected next");
         served.say("GET /up HTTP/1.1\r\n\r\n").await;
         assert!(served.hear().await.starts_with("HTTP/1.1 200"));
-        let (mut half, mut mute) = (Peer::to(&sidecar).await, crowd.pop().expect("one of them"));
+        let (mut half, mut silent) = (Peer::to(&sidecar).await, crowd.pop().expect("one of them"));
         half.say("POST /book HTTP/1.1\r\nX-Call").await;
-        assert_eq!(mute.hear().await, "", "let go without a word");
+        assert_eq!(silent.hear().await, "", "disconnected without a response");
         assert!(half.hear().await.starts_with("HTTP/1.1 408 "));
         assert!(sidecar.counters.frontend_mute.get() >= 2);
         served.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(served.hear().await.starts_with("HTTP/1.1 200"), "who has been served may be idle");
+        assert!(served.hear().await.starts_with("HTTP/1.1 200"), "a client that has been served may be idle");
     });
 }
 
 #[test]
-fn a_bad_list_is_counted_and_the_last_one_kept() {
+fn an_invalid_list_is_counted_and_the_last_one_kept() {
     story(|sidecar| async move {
         let mut discovery = next(&sidecar.discovery).await;
         assert!(discovery.hear().await.starts_with("GET /discovery/hosts?from=1&hold_ms="));
         discovery.say("HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"index\":true").await;
-        // It is asked for again; a list that can be read is followed by the next call at once.
+        // The list is requested again; after a valid list, the next call follows at once.
         let mut discovery = next(&sidecar.discovery).await;
         assert!(discovery.hear().await.contains("?from=1&"));
         assert_eq!(sidecar.counters.discovery_bad.get(), 1);
@@ -222,22 +222,23 @@
     });
 }
 
-/// What was written counts as told, so it binds; and the rest is owed, so no wait of the module's lies between.
+/// Changes that were written count as known to the sidecar, so they apply. The rest is requested without the
+/// module's delay.
 #[test]
-fn what_came_of_a_list_that_broke_off_binds_and_the_rest_is_asked_for_soon() {
+fn the_received_part_of_a_broken_list_counts_and_the_rest_is_requested_soon() {
     story(|sidecar| async move {
         let failures = || sidecar.counters.discovery_failures.get();
         for broken in 0..4 {
             let mut discovery = next(&sidecar.discovery).await;
             assert!(discovery.hear().await.starts_with("GET /discovery/hosts?from=1&hold_ms="));
             assert_eq!((sidecar.counters.discovery_stalled.get(), failures()), (broken.min(1), 0));
-            // The one that paused is counted as bad too once it is given up.
+            // A list that paused is counted as invalid as well once its call is cancelled.
             assert!((broken.saturating_sub(1)..=broken).contains(&sidecar.counters.discovery_bad.get()));
             discovery.say("HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{\"endpoints\":[").await;
             if broken == 0 {
                 let row = r#"{"address":"127.0.0.1:9","name":"s","status":"draining","typ"#;
                 discovery.say(row).await;
-                // It stays open and says no more.
+                // The connection stays open without further bytes.
                 std::mem::forget(discovery);
             }
         }
@@ -247,22 +248,22 @@
         assert!((3..=4).contains(&sidecar.counters.discovery_bad.get()));
         let mut client = Peer::to(&sidecar).await;
         client.say(PLAN).await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 503"), "the only backend server drains");
+        assert!(client.hear().await.starts_with("HTTP/1.1 503"), "the only endpoint is draining");
         assert_eq!(sidecar.counters.dispatches.get(), 0);
     });
 }
 
 #[test]
-fn a_refused_watch_is_not_repeated_and_a_closed_connection_is_no_failure() {
+fn a_failed_watch_is_not_repeated_at_once_and_a_closed_connection_is_no_failure() {
     story(|sidecar| async move {
         let list = r#"{"index":2,"snapshot":false,"endpoints":[]}"#;
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
         let mut discovery = next(&sidecar.discovery).await;
         discovery.hear().await;
-        discovery.say(&answer).await;
+        discovery.say(&response).await;
         assert!(discovery.hear().await.contains("?from=2&"));
-        // The next answer says that the connection ends with it: the call after it comes on another.
-        discovery.say(&answer.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")).await;
+        // The next response announces the end of the connection: the call after it uses another one.
+        discovery.say(&response.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")).await;
         let mut discovery = next(&sidecar.discovery).await;
         discovery.hear().await;
         assert_eq!(sidecar.counters.discovery_failures.get(), 0);
@@ -277,7 +278,7 @@
 }
 
 #[test]
-fn discovery_that_moves_is_asked_for_the_whole_list_at_once() {
+fn discovery_that_moves_is_asked_for_the_complete_list_at_once() {
     story(|sidecar| async move {
         let mut old = next(&sidecar.discovery).await;
         assert!(old.hear().await.contains("?from=1&"));
@@ -285,12 +286,12 @@
         sidecar.control.source.move_to(moved.local_addr().expect("an address"), &sidecar.settings);
         let mut new = next(&moved).await;
         assert!(new.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"));
-        assert_eq!(old.hear().await, "", "the old call is given up");
+        assert_eq!(old.hear().await, "", "the old call is cancelled");
         let list = r#"{"index":1,"snapshot":false,"endpoints":[]}"#;
         new.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())).await;
         assert!(new.hear().await.contains("?from=1&"));
         assert_eq!(sidecar.counters.discovery_failures.get(), 0);
-        // The module waits out a failure; a move in that time is followed all the same.
+        // The module waits after a failure; a move during that time takes effect all the same.
         drop((new, moved));
         let again = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         sidecar.control.source.move_to(again.local_addr().expect("an address"), &sidecar.settings);
@@ -299,33 +300,37 @@
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_asked_again_elsewhere_soon() {
+fn a_silent_watch_is_soon_repeated_on_another_connection() {
     story(|sidecar| async move {
-        let mut mute = next(&sidecar.discovery).await;
-        let call = mute.hear().await;
-        let hold = call.split("hold_ms=").nth(1).and_then(|rest| rest.split(' ').next()).expect("it waits");
-        assert!(hold.parse::<u64>().expect("a time") <= 4000, "news counts as told 2 s after the wait");
+        let mut silent = next(&sidecar.discovery).await;
+        let call = silent.hear().await;
+        let hold =
+            call.split("hold_ms=").nth(1).and_then(|rest| rest.split(' ').next()).expect("a long poll");
+        assert!(
+            hold.parse::<u64>().expect("a time") <= 4000,
+            "a change counts as known 2 s after the long poll"
+        );
         let mut again = next(&sidecar.discovery).await;
-        // Whether there is news is owed, so it is told at once.
+        // The sidecar asks for changes without waiting, so the response would come at once.
         assert_eq!(again.hear().await, call.replace(&format!("hold_ms={hold} "), "hold_ms=0 "));
-        assert_eq!(mute.hear().await, "", "the silent one is closed");
+        assert_eq!(silent.hear().await, "", "the silent call is closed");
         let counters = &sidecar.counters;
         assert_eq!((counters.discovery_silent.get(), counters.discovery_failures.get()), (1, 0));
     });
 }
 
 /// A client of the program, which runs in a process of its own.
-fn ask(address: &str, path: &str) -> std::io::Result<String> {
+fn get(address: &str, path: &str) -> std::io::Result<String> {
     use std::io::{Read, Write};
     let mut stream = std::net::TcpStream::connect(address)?;
     stream.write_all(format!("GET {path} HTTP/1.1\r\nConnection: close\r\n\r\n").as_bytes())?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer)?;
-    Ok(answer)
+    let mut response = String::new();
+    stream.read_to_string(&mut response)?;
+    Ok(response)
 }
 
 #[test]
-fn on_sighup_the_program_follows_the_file_and_outlives_a_bad_one() {
+fn sighup_reloads_the_configuration_and_an_invalid_one_is_ignored() {
     let any = || std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = |listener: &std::net::TcpListener| listener.local_addr().expect("an address").to_string();
     let (old, new) = (any(), any());
@@ -348,18 +353,18 @@
     let _watch = old.accept().expect("it asks");
     std::fs::write(&path, "{").expect("a file");
     signal("HUP");
-    while !ask(&listen, "/counters").expect("it serves on").contains("\"reload_failures\":1") {}
+    while !get(&listen, "/counters").expect("it serves on").contains("\"reload_failures\":1") {}
     file(&at(&new));
     signal("HUP");
-    new.accept().expect("it asks at the new address, whatever the environment says");
-    assert!(ask(&listen, "/counters").expect("it serves on").contains("\"reloads\":1"));
+    new.accept().expect("a call at the new address, whatever the environment says");
+    assert!(get(&listen, "/counters").expect("it serves on").contains("\"reloads\":1"));
     signal("TERM");
     assert!(program.wait().expect("it ends").success());
     std::fs::remove_file(&path).expect("a file");
 }
 
 #[test]
-fn past_its_share_of_descriptors_the_longest_idle_client_makes_room() {
+fn beyond_the_descriptor_limit_the_longest_idle_client_is_disconnected() {
     confirmed_story(|sidecar| async move {
         let mut clients = Vec::new();
         for _ in 0..150 {
@@ -369,70 +374,73 @@
             clients.push(client);
         }
         assert!(sidecar.counters.frontend_evicted.get() >= 30, "256 descriptors leave 114 for clients");
-        assert_eq!(clients[0].hear().await, "", "the first one was closed");
+        assert_eq!(clients[0].hear().await, "", "the first one was disconnected");
         clients[149].say("GET /up HTTP/1.1\r\n\r\n").await;
         assert!(clients[149].hear().await.starts_with("HTTP/1.1 200"));
     });
 }
 
 #[test]
-fn the_program_names_what_is_wrong_with_its_configuration() {
+fn the_program_reports_what_is_wrong_with_its_configuration() {
     let program = std::process::Command::new(env!("CARGO_BIN_EXE_cometcroft")).env_clear().output();
     let output = program.expect("it starts");
-    let said = String::from_utf8_lossy(&output.stderr);
+    let stderr = String::from_utf8_lossy(&output.stderr);
     assert_eq!(
-        (output.status.code(), said.trim_end()),
+        (output.status.code(), stderr.trim_end()),
         (Some(2), "cometcroft: configuration: LB_CONFIG: is not set")
     );
 }
 
 #[test]
-fn on_its_way_out_it_answers_all_and_takes_new_clients_for_a_while() {
+fn shutdown_serves_every_request_and_accepts_new_clients_for_a_while() {
     confirmed_story(|sidecar| async move {
         let (mut busy, mut idle) = (Peer::to(&sidecar).await, Peer::to(&sidecar).await);
         idle.say("GET /up HTTP/1.1\r\n\r\n").await;
         assert!(idle.hear().await.starts_with("HTTP/1.1 200"));
         busy.say(BOOK).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
         sidecar.life.begin();
         idle.say("GET /up HTTP/1.1\r\n\r\n").await;
-        let answer = idle.hear().await;
+        let response = idle.hear().await;
         assert!(
-            answer.starts_with("HTTP/1.1 503") && !answer.contains("close"),
-            "not ready, but it serves on"
+            response.starts_with("HTTP/1.1 503") && !response.contains("close"),
+            "not ready, but it still serves"
         );
         let mut late = Peer::to(&sidecar).await;
         late.say(&PLAN.replace(": 1", ": 3")).await;
         let mut second = next(&sidecar.backend).await;
         second.hear().await;
-        assert_eq!(idle.hear().await, "", "an idle connection is closed in the end");
-        for (server, client) in [(&mut second, &mut late), (&mut server, &mut busy)] {
+        assert_eq!(idle.hear().await, "", "an idle connection is closed eventually");
+        for (endpoint, client) in [(&mut second, &mut late), (&mut endpoint, &mut busy)] {
             assert!(!sidecar.ended.is_finished());
-            server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-            let answer = client.hear().await;
-            assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("Connection: close"), "{answer}");
+            endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+            let response = client.hear().await;
+            assert!(
+                response.starts_with("HTTP/1.1 200") && response.contains("Connection: close"),
+                "{response}"
+            );
         }
         sidecar.ended.await.expect("no panic").expect("a clean end");
     });
 }
 
-/// A call of an operator: the whole answer.
-async fn operate(sidecar: &Sidecar, line: &str) -> String {
+/// Makes a call to the operations endpoint and returns the complete response.
+async fn call_operations(sidecar: &Sidecar, line: &str) -> String {
     let mut peer = Peer(TcpStream::connect(&sidecar.ops).await.expect("it listens"));
     peer.say(&format!("{line} HTTP/1.1\r\nHost: ops\r\n\r\n")).await;
-    let answer = peer.hear().await;
-    assert_eq!(peer.hear().await, "", "one call a connection");
-    answer
+    let response = peer.hear().await;
+    assert_eq!(peer.hear().await, "", "one call per connection");
+    response
 }
 
 async fn stats(sidecar: &Sidecar) -> serde_json::Value {
-    let answer = operate(sidecar, "GET /ops/stats").await;
-    serde_json::from_str(answer.split("\r\n\r\n").nth(1).expect("a body")).expect("figures")
+    let response = call_operations(sidecar, "GET /ops/stats").await;
+    serde_json::from_str(response.split("\r\n\r\n").nth(1).expect("a body")).expect("figures")
 }
 
 #[test]
-fn the_door_answers_operators_whoever_stands_in_it_and_its_figures_are_true() {
+fn the_operations_endpoint_responds_when_crowded_and_its_figures_are_correct() {
     confirmed_story(|sidecar| async move {
         let mut crowd = Vec::new();
         for n in 0..40 {
@@ -448,24 +456,24 @@
             ("GET /counters", 404),
             ("nonsense", 400),
         ] {
-            let answer = operate(&sidecar, line).await;
-            assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{line}: {answer}");
-            assert_eq!(answer.contains("Allow: "), status == 405);
+            let response = call_operations(&sidecar, line).await;
+            assert!(response.starts_with(&format!("HTTP/1.1 {status} ")), "{line}: {response}");
+            assert_eq!(response.contains("Allow: "), status == 405);
         }
         let tally = |s: u64, r: u64, f: u64, a: u64| serde_json::json!({"fulfilled": s, "throttled": r, "faulted": f, "relayed": a});
         let mut client = Peer::to(&sidecar).await;
-        // Served at the second attempt, while it is open; then denied, failed, and left by its client.
+        // Served by the second attempt, while open; then rejected, failed, and abandoned by its client.
         client.say(PLAN).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
         let figures = stats(&sidecar).await;
         assert_eq!((&figures["open_requests"], &figures["registry_entries"]), (&1.into(), &1.into()));
         assert_eq!(figures["operations"]["plan"], tally(0, 0, 0, 1));
-        server.say("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+        endpoint.say("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
         rest().await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").await;
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
+        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").await;
         client.hear().await;
         let figures = stats(&sidecar).await;
         assert_eq!(
@@ -473,9 +481,9 @@
             (&tally(1, 0, 0, 2), &0.into())
         );
         client.say(BOOK).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        drop(server);
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
+        drop(endpoint);
         assert!(client.hear().await.starts_with("HTTP/1.1 502"));
         client.say(&BOOK.replace("30000m", "2m")).await;
         assert!(client.hear().await.starts_with("HTTP/1.1 503"));
@@ -489,74 +497,77 @@
         assert_eq!(figures["operations"]["pay"], tally(0, 0, 0, 0));
         assert_eq!((&figures["open_requests"], &figures["relayed"]), (&0.into(), &4.into()));
         let mut first = crowd.swap_remove(0);
-        assert_eq!(first.hear().await, "", "the longest silent has made room");
+        assert_eq!(first.hear().await, "", "the longest silent client was disconnected");
     });
 }
 
 #[test]
-fn a_drain_sends_clients_away_and_is_called_back() {
+fn a_drain_disconnects_clients_and_can_be_stopped() {
     confirmed_story(|sidecar| async move {
         let (mut idle, mut busy) = (Peer::to(&sidecar).await, Peer::to(&sidecar).await);
         idle.say("GET /up HTTP/1.1\r\n\r\n").await;
         assert!(idle.hear().await.starts_with("HTTP/1.1 200"));
         busy.say(BOOK).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
         for _ in 0..2 {
-            assert!(operate(&sidecar, "PUT /ops/drain/start").await.starts_with("HTTP/1.1 200"));
+            assert!(call_operations(&sidecar, "PUT /ops/drain/start").await.starts_with("HTTP/1.1 200"));
         }
-        let began = Tokio.now();
-        assert!(operate(&sidecar, "GET /ops/readiness").await.starts_with("HTTP/1.1 503"));
+        let started = Tokio.now();
+        assert!(call_operations(&sidecar, "GET /ops/readiness").await.starts_with("HTTP/1.1 503"));
         let mut late = Peer::to(&sidecar).await;
         late.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(late.hear().await.starts_with("HTTP/1.1 503"), "it still takes who comes, and says no");
+        assert!(
+            late.hear().await.starts_with("HTTP/1.1 503"),
+            "it still accepts connections, and is not ready"
+        );
         assert_eq!((idle.hear().await, late.hear().await), (String::new(), String::new()));
-        let closed = Tokio.since(began);
+        let closed = Tokio.since(started);
         assert!(closed > std::time::Duration::from_millis(300) && closed < std::time::Duration::from_secs(2));
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-        let answer = busy.hear().await;
-        assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("Connection: close"), "{answer}");
+        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+        let response = busy.hear().await;
+        assert!(response.starts_with("HTTP/1.1 200") && response.contains("Connection: close"), "{response}");
         for _ in 0..2 {
-            assert!(operate(&sidecar, "PUT /ops/drain/stop").await.starts_with("HTTP/1.1 200"));
+            assert!(call_operations(&sidecar, "PUT /ops/drain/stop").await.starts_with("HTTP/1.1 200"));
         }
         let mut back = Peer::to(&sidecar).await;
         back.say("GET /up HTTP/1.1\r\n\r\n").await;
         assert!(back.hear().await.starts_with("HTTP/1.1 200"));
         Tokio.sleep(std::time::Duration::from_millis(1700)).await;
         back.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(back.hear().await.starts_with("HTTP/1.1 200"), "it is kept, as before the drain");
+        assert!(back.hear().await.starts_with("HTTP/1.1 200"), "it stays open, as before the drain");
     });
 }
 
 #[test]
-fn what_is_under_way_keeps_its_class_while_new_settings_come() {
+fn an_open_request_keeps_its_class_when_settings_change() {
     confirmed_story(|sidecar| async move {
         let text = |from: &str, to: &str| {
             let known = r#"{"index":1,"snapshot":true,"endpoints":[]}"#;
-            let good = common::config("127.0.0.1:0", "127.0.0.1:1", known);
-            assert!(good.contains(from));
-            Config::parse(&good.replacen(from, to, 1), |_| None)
+            let valid = common::config("127.0.0.1:0", "127.0.0.1:1", known);
+            assert!(valid.contains(from));
+            Config::parse(&valid.replacen(from, to, 1), |_| None)
         };
         let mut client = Peer::to(&sidecar).await;
         client.say(PLAN).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        // From now on a plan must not run twice; the one that is out may, as it came before.
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
+        // From now on `plan` must not run twice; the open request may, since it arrived before.
         let stricter = text("\"read_like\"", "\"non_idempotent\"");
         sidecar.control.reload(stricter, &sidecar.counters).expect("whole");
         rest().await;
-        server.say("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        server.say("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+        endpoint.say("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
+        endpoint.say("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
         assert!(client.hear().await.starts_with("HTTP/1.1 200"));
-        // In the old form, but under the new effect.
+        // In the old form, but with the new effect.
         client.say(PLAN).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        server.say("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
+        endpoint.say("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
         assert!(client.hear().await.starts_with("HTTP/1.1 502"));
-        // Fewer attempts bind from now on, and a bad file changes nothing.
+        // Fewer attempts apply from now on, and an invalid file changes nothing.
         sidecar
             .control
             .reload(text("\"max-attempts\":3", "\"max-attempts\":1"), &sidecar.counters)
@@ -568,9 +579,9 @@
         rest().await;
         let dispatches = sidecar.counters.dispatches.get();
         client.say(&PLAN.replace("GET /plan", "GET /plan/x")).await;
-        let mut server = next(&sidecar.backend).await;
-        server.hear().await;
-        server
+        let mut endpoint = next(&sidecar.backend).await;
+        endpoint.hear().await;
+        endpoint
             .say("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
             .await;
         assert!(client.hear().await.starts_with("HTTP/1.1 503"));
@@ -581,8 +592,8 @@
     });
 }
 
-/// A message of this much body, in pieces, or as much of it as `cut` leaves.
-fn long(head: &str, chunked: bool, length: usize, cut: usize) -> Vec<u8> {
+/// Encodes a message with a body of this length, in chunks or not, truncated to `cut` bytes.
+fn encode_message(head: &str, chunked: bool, length: usize, cut: usize) -> Vec<u8> {
     let body: Vec<u8> = (0..length).map(|at| b'a' + (at % 23) as u8).collect();
     let mut out = head.as_bytes().to_vec();
     if chunked {
@@ -601,22 +612,22 @@
     out
 }
 
-/// What a client gets of an answer until its connection ends: its body, and whether that is whole.
-fn body_of(text: &[u8]) -> (Vec<u8>, bool) {
+/// The body that a client gets from a response until its connection ends, and whether it is complete.
+fn decode_body(text: &[u8]) -> (Vec<u8>, bool) {
     let mut exchange = cometcroft_sidecar::http::client::ResponseReader::new(64 << 20);
     exchange.buffer().extend_from_slice(text);
     match exchange.step(false) {
-        Ok(Some(answer)) => (answer.body.to_vec(), true),
+        Ok(Some(response)) => (response.body.to_vec(), true),
         _ => (Vec::new(), false),
     }
 }
 
 #[test]
-fn a_large_answer_is_relayed_whole_or_visibly_cut_wherever_it_breaks() {
+fn a_large_response_is_forwarded_completely_or_visibly_cut_wherever_it_breaks() {
     confirmed_story(|sidecar| async move {
         const LENGTH: usize = 300_000;
         for chunked in [false, true] {
-            let all = long("HTTP/1.1 200 OK\r\nConnection: close\r\n", chunked, LENGTH, usize::MAX);
+            let all = encode_message("HTTP/1.1 200 OK\r\nConnection: close\r\n", chunked, LENGTH, usize::MAX);
             let head = all.len() - LENGTH;
             let cuts = [
                 0,
@@ -630,21 +641,21 @@
             ];
             for cut in cuts {
                 let mut client = Peer::to(&sidecar).await;
-                // One that must not run twice, so that each cut is one attempt.
+                // A request that must not run twice, so that each cut is one attempt.
                 client.say(&BOOK.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")).await;
-                let mut server = next(&sidecar.backend).await;
-                server.hear().await;
-                server.0.write_all(&all[..cut]).await.expect("it reads");
-                drop(server);
+                let mut endpoint = next(&sidecar.backend).await;
+                endpoint.hear().await;
+                endpoint.0.write_all(&all[..cut]).await.expect("it reads");
+                drop(endpoint);
                 let mut text = Vec::new();
                 client.0.read_to_end(&mut text).await.expect("an end");
-                let (body, whole) = body_of(&text);
+                let (body, complete) = decode_body(&text);
                 let begun = text.starts_with(b"HTTP/1.1 200");
-                assert_eq!(begun && whole, cut == all.len(), "{chunked} {cut}");
+                assert_eq!(begun && complete, cut == all.len(), "{chunked} {cut}");
                 assert!(begun || text.starts_with(b"HTTP/1.1 502"), "{chunked} {cut}");
                 assert!(
                     !begun
-                        || !whole
+                        || !complete
                         || body.len() == LENGTH && body[LENGTH - 1] == b'a' + ((LENGTH - 1) % 23) as u8
                 );
             }
@@ -655,7 +666,7 @@
 }
 
 #[test]
-fn an_answer_that_its_connection_ends_counts_where_its_head_says_so() {
+fn a_response_that_ends_with_its_connection_counts_if_its_head_says_so() {
     confirmed_story(|sidecar| async move {
         for (head, served) in [
             ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", true),
@@ -664,78 +675,83 @@
         ] {
             let mut client = Peer::to(&sidecar).await;
             client.say(BOOK).await;
-            let mut server = next(&sidecar.backend).await;
-            server.hear().await;
-            server.say(&format!("{head}all of it")).await;
-            drop(server);
-            let answer = client.hear().await;
-            assert_eq!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("all of it"), served, "{head}");
+            let mut endpoint = next(&sidecar.backend).await;
+            endpoint.hear().await;
+            endpoint.say(&format!("{head}all of it")).await;
+            drop(endpoint);
+            let response = client.hear().await;
+            assert_eq!(
+                response.starts_with("HTTP/1.1 200") && response.ends_with("all of it"),
+                served,
+                "{head}"
+            );
         }
     });
 }
 
-/// A large request for a class that must not run twice.
+/// The head of a large request for a class that must not run twice.
 const LARGE: &str = "POST /book HTTP/1.1\r\nX-Call-Id: 8\r\nX-Budget: 9000m\r\n";
 
 #[test]
-fn a_large_request_is_passed_on_as_it_comes_and_again_only_while_it_is_held() {
+fn a_large_request_is_forwarded_as_it_arrives_and_retried_only_while_it_is_buffered() {
     confirmed_story(|sidecar| async move {
-        // Up to what is gathered it may be sent again, where the first try never ran.
+        // Up to the buffer limit it may be sent again if the first attempt never ran.
         for (chunked, length) in [(false, 100_000), (true, 700_000)] {
             let mut client = Peer::to(&sidecar).await;
-            client.0.write_all(&long(LARGE, chunked, length, usize::MAX)).await.expect("it reads");
+            client.0.write_all(&encode_message(LARGE, chunked, length, usize::MAX)).await.expect("it reads");
             for last in [false, true] {
-                let mut server = next(&sidecar.backend).await;
-                let (head, body) = hear_all(&mut server, length).await;
+                let mut endpoint = next(&sidecar.backend).await;
+                let (head, body) = receive_at_least(&mut endpoint, length).await;
                 assert!(head.contains(&format!("Content-Length: {length}\r\n")), "{head}");
                 assert!(body.len() == length && body[length - 1] == b'a' + ((length - 1) % 23) as u8);
-                let answer = ["503 No\r\nX-Rejected: 1", "200 OK"][usize::from(last)];
-                let answer = format!("HTTP/1.1 {answer}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-                server.say(&answer).await;
+                let response = ["503 No\r\nX-Rejected: 1", "200 OK"][usize::from(last)];
+                let response =
+                    format!("HTTP/1.1 {response}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+                endpoint.say(&response).await;
             }
             assert!(client.hear().await.starts_with("HTTP/1.1 200"));
         }
-        // Beyond that it goes out while it comes, and only once.
+        // Larger bodies are sent on while they arrive, and only once.
         const LENGTH: usize = 3_000_000;
         for chunked in [false, true] {
-            let all = long(LARGE, chunked, LENGTH, usize::MAX);
+            let all = encode_message(LARGE, chunked, LENGTH, usize::MAX);
             let mut client = Peer::to(&sidecar).await;
             let (first, second) = all.split_at(all.len() / 2);
             client.0.write_all(first).await.expect("it reads");
-            let mut server = next(&sidecar.backend).await;
-            let (head, body) = hear_all(&mut server, 1 << 20).await;
+            let mut endpoint = next(&sidecar.backend).await;
+            let (head, body) = receive_at_least(&mut endpoint, 1 << 20).await;
             assert_eq!(head.contains("Transfer-Encoding: chunked"), chunked, "{head}");
             client.0.write_all(second).await.expect("it reads");
-            hear_all(&mut server, LENGTH - body.len() - 200_000).await;
-            drop(server);
-            let answer = client.hear().await;
+            receive_at_least(&mut endpoint, LENGTH - body.len() - 200_000).await;
+            drop(endpoint);
+            let response = client.hear().await;
             let (never_ran, failed) =
-                (answer.starts_with("HTTP/1.1 503"), answer.starts_with("HTTP/1.1 502"));
-            assert!(never_ran || failed, "{chunked} {answer} {}", sidecar.counters.json());
+                (response.starts_with("HTTP/1.1 503"), response.starts_with("HTTP/1.1 502"));
+            assert!(never_ran || failed, "{chunked} {response} {}", sidecar.counters.json());
         }
         let dispatches = sidecar.counters.dispatches.get();
-        assert!(dispatches <= 4 + 4, "{dispatches}: what is gone is not sent again");
-        // One that stands still is ended, and its backend server never gets the end of it.
+        assert!(dispatches <= 4 + 4, "{dispatches}: a discarded body is not sent again");
+        // A body that makes no progress is rejected, and its endpoint never gets the end of it.
         let mut client = Peer::to(&sidecar).await;
-        client.0.write_all(&long(LARGE, false, LENGTH, LENGTH / 2)).await.expect("it reads");
-        let mut server = next(&sidecar.backend).await;
-        hear_all(&mut server, 1 << 20).await;
-        let began = Tokio.now();
-        let answer = client.hear().await;
+        client.0.write_all(&encode_message(LARGE, false, LENGTH, LENGTH / 2)).await.expect("it reads");
+        let mut endpoint = next(&sidecar.backend).await;
+        receive_at_least(&mut endpoint, 1 << 20).await;
+        let started = Tokio.now();
+        let response = client.hear().await;
         assert!(
-            answer.starts_with("HTTP/1.1 408") && Tokio.since(began) < std::time::Duration::from_secs(3),
-            "{answer}"
+            response.starts_with("HTTP/1.1 408") && Tokio.since(started) < std::time::Duration::from_secs(3),
+            "{response}"
         );
-        // What is no request of its class is turned away before its body has come.
+        // A request that does not fit its class is rejected before its body has arrived.
         let mut client = Peer::to(&sidecar).await;
-        let other = long(&LARGE.replace("book", "other"), false, 9_000_000, usize::MAX);
-        client.0.write_all(&other).await.expect("what comes is read, or the answer would be lost");
+        let other = encode_message(&LARGE.replace("book", "other"), false, 9_000_000, usize::MAX);
+        client.0.write_all(&other).await.expect("the body is read, or the response would be lost");
         assert!(client.hear().await.starts_with("HTTP/1.1 400"));
     });
 }
 
-/// A head, and at least so many bytes behind it; what frames them may be among them.
-async fn hear_all(peer: &mut Peer, least: usize) -> (String, Vec<u8>) {
+/// Receives a head and at least this many bytes after it, which may include chunk framing.
+async fn receive_at_least(peer: &mut Peer, least: usize) -> (String, Vec<u8>) {
     let (mut text, mut at) = (Vec::new(), None);
     while at.is_none_or(|at| text.len() < at + least) {
         if peer.0.read_buf(&mut text).await.expect("bytes") == 0 {
@@ -749,7 +765,7 @@
 }
 
 #[test]
-fn a_slow_client_has_its_time_for_a_head_and_then_for_a_body_that_goes_on_coming() {
+fn a_slow_client_has_time_for_a_head_and_for_a_body_that_makes_progress() {
     story(|sidecar| async move {
         let _discovery = confirm_all(&sidecar);
         let pause = |ms| Tokio.sleep(std::time::Duration::from_millis(ms));
@@ -761,14 +777,14 @@
             pause(500).await;
             client.say(byte).await;
         }
-        // Its budget runs from its last byte.
-        let mut server = next(&sidecar.backend).await;
-        assert!(server.hear().await.ends_with("\r\n\r\nabc"));
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+        // Its time runs from its last byte.
+        let mut endpoint = next(&sidecar.backend).await;
+        assert!(endpoint.hear().await.ends_with("\r\n\r\nabc"));
+        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
         assert!(client.hear().await.starts_with("HTTP/1.1 200"));
-        let began = Tokio.now();
+        let started = Tokio.now();
         client.say("POST /book HTTP/1.1\r\nContent-Length: 3\r\n\r\na").await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 408"), "one that stands still is ended");
-        assert!(Tokio.since(began) < std::time::Duration::from_secs(3));
+        assert!(client.hear().await.starts_with("HTTP/1.1 408"), "a body that makes no progress is rejected");
+        assert!(Tokio.since(started) < std::time::Duration::from_secs(3));
     });
 }
--- a/crates/sidecar/tests/request_log.rs
+++ b/crates/sidecar/tests/request_log.rs
@@ -1,4 +1,4 @@
-//! What the log tells of a request: which evidence opened an endpoint for it.
+//! The log of a request names the evidence for sending it to its endpoint.
 #![allow(clippy::disallowed_methods)]
 mod common;
 
@@ -10,41 +10,43 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// The lines of a process that answers one request and is ended then.
-fn log_of_a_request(endpoints: &[SocketAddr], discovery: SocketAddr, id: &str) -> Vec<Value> {
+/// The log lines of a process that serves one request and is then terminated.
+fn log_of_request(endpoints: &[SocketAddr], discovery: SocketAddr, id: &str) -> Vec<Value> {
     let [listen, _, _] = places(1)[0];
     let config = common::config(&listen.to_string(), &discovery.to_string(), &list(endpoints, 1));
     let process = Process::start(&config, &[("LB_LOG", "debug".to_owned())], 256);
-    let began = Instant::now();
-    let up = || ask(listen, "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n");
-    while !up().is_some_and(|answer| answer.contains(" 200 ")) {
-        assert!(began.elapsed() < 10_000 * MS, "it is not ready");
+    let started = Instant::now();
+    let is_ready = || ask(listen, "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n");
+    while !is_ready().is_some_and(|answer| answer.contains(" 200 ")) {
+        assert!(started.elapsed() < 10_000 * MS, "the sidecar does not become ready");
         sleep(10 * MS);
     }
     let request = format!(
         "GET /plan/1 HTTP/1.1\r\nHost: h\r\nX-Call-Id: {id}\r\nX-Budget: 500m\r\nConnection: close\r\n\r\n"
     );
-    ask(listen, &request).expect("an answer");
+    ask(listen, &request).expect("a response");
     process.signal("TERM");
-    let said = String::from_utf8(process.end().stderr).expect("text");
-    said.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
+    let stderr = String::from_utf8(process.end().stderr).expect("text");
+    stderr.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
 }
 
 /// The lines with this message that belong to the request.
-fn lines_of<'a>(lines: &'a [Value], id: &str, message: &str) -> Vec<&'a Value> {
+fn lines_with_message<'a>(lines: &'a [Value], id: &str, message: &str) -> Vec<&'a Value> {
     let belongs = |line: &&Value| line["span"]["request"] == id && line["fields"]["message"] == message;
     lines.iter().filter(belongs).collect()
 }
 
-/// Guards against late requests of which nobody can tell afterwards why they began.
+/// Guards against attempts that start after a drain and leave no trace in the log of why they were permitted.
 #[test]
-fn the_log_tells_which_evidence_opened_an_endpoint_for_a_request() {
+fn the_log_names_the_evidence_for_sending_to_an_endpoint() {
     let (endpoint, _) = backend(Duration::ZERO, "", false);
     let id = "00000000000000a1";
-    let lines = log_of_a_request(&[endpoint], discovery(vec![endpoint]), id);
-    let [begins] = lines_of(&lines, id, "attempt begins")[..] else { panic!("one line: {lines:#?}") };
+    let lines = log_of_request(&[endpoint], discovery(vec![endpoint]), id);
+    let [begins] = lines_with_message(&lines, id, "attempt begins")[..] else {
+        panic!("one line: {lines:#?}")
+    };
     let fields = &begins["fields"];
     assert!(fields["evidence"].as_str().is_some_and(|text| text.starts_with("ListHolds(")), "{fields}");
     assert_eq!((&fields["version"], &fields["endpoint"]), (&1.into(), &endpoint.to_string().into()));
-    assert_eq!(lines_of(&lines, id, "attempt ended").len(), 1);
+    assert_eq!(lines_with_message(&lines, id, "attempt ended").len(), 1);
 }
--- a/crates/sidecar/tests/requests.rs
+++ b/crates/sidecar/tests/requests.rs
@@ -1,4 +1,4 @@
-//! The session table against a model: random steps, and what the rules say holds after each.
+//! The request table against a model: random steps, and the rules that hold after each of them.
 mod common;
 
 use cometcroft::*;
@@ -12,23 +12,23 @@
 use std::time::Duration;
 
 #[derive(Debug, Clone)]
-enum Do {
-    Open { class: usize, left: u64 },
-    End { which: usize, outcome: usize },
-    Withdraw(usize),
-    Overdue(usize),
+enum Step {
+    AddRequest { class: usize, time_left: u64 },
+    EndAttempt { which: usize, outcome: usize },
+    Disconnect(usize),
+    DeadlinePassed(usize),
     Timer(usize),
     Drain(u32),
 }
 
-fn step() -> impl Strategy<Value = (Do, u64)> {
+fn step() -> impl Strategy<Value = (Step, u64)> {
     let step = prop_oneof![
-        4 => (0..3usize, 0..3000u64).prop_map(|(class, left)| Do::Open { class, left }),
-        6 => (any::<usize>(), 0..6usize).prop_map(|(which, outcome)| Do::End { which, outcome }),
-        1 => any::<usize>().prop_map(Do::Withdraw),
-        1 => any::<usize>().prop_map(Do::Overdue),
-        2 => any::<usize>().prop_map(Do::Timer),
-        1 => (0..4u32).prop_map(Do::Drain),
+        4 => (0..3usize, 0..3000u64).prop_map(|(class, time_left)| Step::AddRequest { class, time_left }),
+        6 => (any::<usize>(), 0..6usize).prop_map(|(which, outcome)| Step::EndAttempt { which, outcome }),
+        1 => any::<usize>().prop_map(Step::Disconnect),
+        1 => any::<usize>().prop_map(Step::DeadlinePassed),
+        2 => any::<usize>().prop_map(Step::Timer),
+        1 => (0..4u32).prop_map(Step::Drain),
     ];
     (step, 0..400u64)
 }
@@ -42,18 +42,18 @@
     Outcome::Reset,
 ];
 
-/// What is known of a session from outside.
+/// A request as seen from outside.
 #[derive(Default)]
 struct Model {
     class: usize,
-    out: Option<u32>,
-    dispatched: u32,
+    running: Option<u32>,
+    attempts: u32,
     may_have_run: bool,
-    /// When its first dispatch began.
-    began: Duration,
-    /// Answers it got; a client that left counts as answered.
-    over: u32,
-    left: bool,
+    /// Start of the first attempt that may have run.
+    first_started: Duration,
+    /// Number of final responses; a disconnected client counts as one.
+    responses: u32,
+    disconnected: bool,
 }
 
 const WINDOW: Duration = Duration::from_secs(4);
@@ -69,55 +69,65 @@
     settings
 }
 
-fn list(drained: Option<u32>) -> Event {
+fn list(draining: Option<u32>) -> Event {
     let entries = (0..4).map(|id| EndpointEntry {
         endpoint: EndpointId(id),
-        state: if drained == Some(id) { EndpointState::Draining } else { EndpointState::Ready },
+        state: if draining == Some(id) { EndpointState::Draining } else { EndpointState::Ready },
         weight: 1.0,
         ..EndpointEntry::default()
     });
     Event::EndpointList { scope: ListScope::Complete, entries: entries.collect() }
 }
 
-fn check(
+fn apply(
     commands: Vec<Command<u8, u8>>,
     models: &mut HashMap<RequestNumber, Model>,
     timers: &mut Vec<Timer>,
-    drained: Option<u32>,
+    draining: Option<u32>,
     now: Duration,
 ) -> Result<(), TestCaseError> {
     for command in commands {
         match command {
-            Command::StartAttempt { request, attempt, endpoint, payload, write_by: latest, .. } => {
+            Command::StartAttempt { request, attempt, endpoint, payload, write_by, .. } => {
                 let model = models.entry(request).or_default();
-                prop_assert_eq!(model.over, 0, "nothing is dispatched for what is over");
-                prop_assert_eq!(model.out, None, "never two at once");
-                prop_assert_eq!(attempt, model.dispatched);
-                prop_assert!(attempt < 3 && Some(endpoint.0) != drained);
-                prop_assert!(payload != 1 || !model.may_have_run, "an unsafe class never runs twice");
-                let bound = payload == 2 && model.may_have_run;
-                prop_assert_eq!(latest.is_some(), bound, "a repeat is bound to its window, and nothing else");
-                prop_assert!(latest.is_none_or(|at| at < model.began + WINDOW));
+                prop_assert_eq!(model.responses, 0, "no attempt starts for a finished request");
+                prop_assert_eq!(model.running, None, "attempts never run side by side");
+                prop_assert_eq!(attempt, model.attempts);
+                prop_assert!(attempt < 3 && Some(endpoint.0) != draining);
+                prop_assert!(
+                    payload != 1 || !model.may_have_run,
+                    "a non-idempotent request never runs twice"
+                );
+                let limited = payload == 2 && model.may_have_run;
+                prop_assert_eq!(
+                    write_by.is_some(),
+                    limited,
+                    "only a retry of a keyed request is limited to its window"
+                );
+                prop_assert!(write_by.is_none_or(|at| at < model.first_started + WINDOW));
                 if !model.may_have_run {
-                    model.began = now;
+                    model.first_started = now;
                 }
-                (model.out, model.dispatched) = (Some(attempt), attempt + 1);
+                (model.running, model.attempts) = (Some(attempt), attempt + 1);
             }
             Command::CancelAttempt(request) => {
                 let model = models.entry(request).or_default();
-                prop_assert!(model.out.take().is_some());
+                prop_assert!(model.running.take().is_some());
                 model.may_have_run = true;
             }
-            Command::Respond(request, verdict) => {
+            Command::Respond(request, response) => {
                 let model = models.entry(request).or_default();
-                model.over += 1;
-                prop_assert_eq!(model.over, 1, "one final answer");
-                let denied = matches!(verdict, FinalResponse::Rejected { .. });
-                prop_assert!(!denied || model.class != 1 || !model.may_have_run, "a denial is harmless");
+                model.responses += 1;
+                prop_assert_eq!(model.responses, 1, "one final response");
+                let rejected = matches!(response, FinalResponse::Rejected { .. });
+                prop_assert!(
+                    !rejected || model.class != 1 || !model.may_have_run,
+                    "only a request that never ran, or may run again, is rejected"
+                );
             }
             Command::Remove(request) => {
                 let model = models.entry(request).or_default();
-                prop_assert!(model.over == 1 && model.out.is_none());
+                prop_assert!(model.responses == 1 && model.running.is_none());
             }
             Command::SetTimer(_, timer) => timers.push(timer),
             _ => {}
@@ -130,61 +140,61 @@
     #![proptest_config(common::fixed(150))]
 
     #[test]
-    fn every_session_gets_one_answer_and_the_rules_hold(steps in prop::collection::vec(step(), 1..120)) {
+    fn every_request_gets_one_final_response_and_the_rules_hold(steps in prop::collection::vec(step(), 1..120)) {
         let counters = Rc::new(Counters::default());
         let mut table: RequestTable<u8, u8> = RequestTable::new(settings(), 7, counters.clone()).expect("settings");
         let (mut models, mut timers): (HashMap<RequestNumber, Model>, _) = (HashMap::new(), Vec::new());
-        let (mut now, mut drained) = (Duration::from_secs(3600), None);
-        check(table.handle_event(now, Event::Start), &mut models, &mut timers, drained, now)?;
-        check(table.handle_event(now, list(None)), &mut models, &mut timers, drained, now)?;
+        let (mut now, mut draining) = (Duration::from_secs(3600), None);
+        apply(table.handle_event(now, Event::Start), &mut models, &mut timers, draining, now)?;
+        apply(table.handle_event(now, list(None)), &mut models, &mut timers, draining, now)?;
         for (step, wait) in steps {
             now += Duration::from_millis(wait);
             let mut open: Vec<RequestNumber> =
-                models.iter().filter(|(_, m)| m.over == 0).map(|(&id, _)| id).collect();
+                models.iter().filter(|(_, m)| m.responses == 0).map(|(&id, _)| id).collect();
             open.sort_unstable();
             let commands = match step {
-                Do::Open { class, left } => {
-                    let (left, id) = (Duration::from_millis(left), models.len() as u64);
+                Step::AddRequest { class, time_left } => {
+                    let (time_left, id) = (Duration::from_millis(time_left), models.len() as u64);
                     models.insert(id, Model { class, ..Model::default() });
                     let payload = class as u8;
-                    let opening =
-                        NewRequest { class: ClassId(class), tenant: None, time_left: left, client_retry: false, payload };
-                    let (given, commands) = table.add_request(now, opening);
-                    prop_assert_eq!(given, id);
+                    let request =
+                        NewRequest { class: ClassId(class), tenant: None, time_left, client_retry: false, payload };
+                    let (number, commands) = table.add_request(now, request);
+                    prop_assert_eq!(number, id);
                     commands
                 }
-                Do::End { which, outcome } => {
+                Step::EndAttempt { which, outcome } => {
                     let Some(&id) = open.get(which % open.len().max(1)) else { continue };
                     let Some(model) = models.get_mut(&id) else { continue };
-                    let Some(attempt) = model.out.take() else { continue };
+                    let Some(attempt) = model.running.take() else { continue };
                     let outcome = OUTCOMES[outcome];
                     model.may_have_run |= !outcome.never_ran();
                     table.attempt_ended(now, id, attempt, AttemptResult { outcome, report: None, response: Some(1) })
                 }
-                Do::Withdraw(which) => {
+                Step::Disconnect(which) => {
                     let Some(&id) = open.get(which % open.len().max(1)) else { continue };
-                    models.entry(id).and_modify(|m| (m.over, m.left) = (1, true));
+                    models.entry(id).and_modify(|m| (m.responses, m.disconnected) = (1, true));
                     table.client_disconnected(now, id)
                 }
-                Do::Overdue(which) => {
+                Step::DeadlinePassed(which) => {
                     let Some(&id) = open.get(which % open.len().max(1)) else { continue };
                     table.deadline_passed(now, id)
                 }
-                Do::Timer(which) if timers.is_empty() || which == 0 => continue,
-                Do::Timer(which) => {
+                Step::Timer(which) if timers.is_empty() || which == 0 => continue,
+                Step::Timer(which) => {
                     let timer = timers.swap_remove(which % timers.len());
                     table.handle_event(now, Event::Timer(timer))
                 }
-                Do::Drain(which) => {
-                    drained = Some(which);
-                    table.handle_event(now, list(drained))
+                Step::Drain(which) => {
+                    draining = Some(which);
+                    table.handle_event(now, list(draining))
                 }
             };
-            check(commands, &mut models, &mut timers, drained, now)?;
-            let owed = models.values().filter(|m| m.over == 0).count();
-            prop_assert_eq!(table.unanswered_count(), owed);
-            // Whoever is owed an answer has a dispatch out: the module holds nothing back.
-            prop_assert!(models.values().all(|m| m.over > 0 || m.out.is_some()));
+            apply(commands, &mut models, &mut timers, draining, now)?;
+            let unanswered = models.values().filter(|m| m.responses == 0).count();
+            prop_assert_eq!(table.unanswered_count(), unanswered);
+            // A request without a final response has a running attempt: the module holds nothing back.
+            prop_assert!(models.values().all(|m| m.responses > 0 || m.running.is_some()));
         }
         prop_assert_eq!(counters.invariants_broken.get(), 0);
     }
