--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -70,7 +70,7 @@
             );
             let end = transport.platform().now() + timeout;
             let result = transport.attempt(to, &payload, end, write_by).instrument(span.clone()).await;
-            let endpoint = transport.exchanger.directory.address(to).map(tracing::field::display);
+            let endpoint = transport.exchanger.endpoints.address(to).map(tracing::field::display);
             span.in_scope(|| tracing::debug!(endpoint, outcome = ?result.outcome, "attempt ended"));
             payload.last_failure.set(retry_cause(result.outcome).or(payload.last_failure.get()));
             result
@@ -80,12 +80,12 @@
     fn probe(&self, to: EndpointId) -> LocalBoxFuture<ProbeResult> {
         let transport = self.clone();
         Box::pin(async move {
-            if transport.fleet.as_ref().is_some_and(|fleet| !fleet.probes()) {
+            if transport.fleet.as_ref().is_some_and(|fleet| !fleet.allow_probe()) {
                 count(&transport.exchanger.counters.probes_barred);
                 return (Outcome::NotSent, None);
             }
             let fields = transport.fields.borrow().clone();
-            probe::ask(&transport.exchanger, &fields, to).await
+            probe::send(&transport.exchanger, &fields, to).await
         })
     }
 
@@ -123,7 +123,7 @@
         }
         let first = payload.attempts_started.replace(payload.attempts_started.get() + 1) == 0;
         if let Some(fleet) = &self.fleet
-            && !fleet.attempts(&payload.request, first, payload.last_failure.get())
+            && !fleet.allow_attempt(&payload.request, first, payload.last_failure.get())
         {
             count(&self.exchanger.counters.retries_barred);
             return AttemptResult { outcome: Outcome::NotSent, report: None, response: None };
@@ -137,7 +137,7 @@
         };
         let written = || {
             stage.set(Stage::Written);
-            self.exchanger.counters.figures.relay(payload.class);
+            self.exchanger.counters.request_stats.record_relayed(payload.class);
         };
         let exchange =
             self.exchanger.run(to, message, payload.upload.as_ref(), Deadlines { end, write_by }, written);
@@ -157,7 +157,7 @@
                 let report = response
                     .response
                     .load_report()
-                    .and_then(|text| probe::report(text, &self.fields.borrow()));
+                    .and_then(|text| probe::parse_report(text, &self.fields.borrow()));
                 AttemptResult {
                     outcome: response_outcome(&response.response),
                     report,
--- a/crates/sidecar/src/discovery/call.rs
+++ b/crates/sidecar/src/discovery/call.rs
@@ -2,11 +2,11 @@
 //! kept however the call ends.
 
 use super::abandonment::Abandonment;
+use crate::discovery_connections::DiscoveryConnections;
 use crate::endpoint_list::{EndpointList, EndpointRecord, ListError, ListReader};
 use crate::http::client::{self, ResponseReader};
 use crate::http::{BodyPiece, ParseError};
-use crate::notices::Notices;
-use crate::sockets::send_promptly;
+use crate::sockets::enable_nodelay;
 use bytes::{Bytes, BytesMut};
 use cometcroft_platform::{Elapsed, Platform, Stream};
 use std::cell::RefCell;
@@ -54,9 +54,9 @@
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Outcome::Answered(EndpointList { index, whole, records }) => {
-                let scope = if *whole { "whole" } else { "changes" };
-                write!(f, "answered: version {index}, {scope}, {} rows", records.len())
+            Outcome::Answered(EndpointList { version, is_complete, records }) => {
+                let scope = if *is_complete { "whole" } else { "changes" };
+                write!(f, "answered: version {version}, {scope}, {} rows", records.len())
             }
             Outcome::Broken(Some(error)) => write!(f, "broken: {error}"),
             Outcome::Broken(None) => f.write_str("broken"),
@@ -98,7 +98,7 @@
     pub address: SocketAddr,
     pub target: String,
     /// The answer begins within this time.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// Makes one call, on the connection `kept` if that is still open.
@@ -106,11 +106,11 @@
     platform: &P,
     kept: Option<P::Stream>,
     question: Question,
-    notices: &Notices,
+    connections: &DiscoveryConnections,
     abandonment: &Abandonment,
     arrivals: &mut impl Arrivals,
 ) -> Ended<P> {
-    let until = platform.now() + question.patience;
+    let until = platform.now() + question.timeout;
     let asked = tokio::select! {
         biased;
         asked = platform.timeout_at(until, asked(platform, kept, &question)) => asked,
@@ -124,7 +124,7 @@
         Ok(Err(_)) => return Ended::unanswered(Outcome::Unreachable),
         Err(_) => return Ended::unanswered(Outcome::Silent),
     };
-    notices.expect_on(&stream);
+    connections.add(&stream);
     let (exchange, list) = (ResponseReader::streamed(MAX_LIST), ListReader::default());
     let mut answer = Answer {
         platform,
@@ -155,11 +155,11 @@
 ) -> io::Result<P::Stream> {
     // A call on a connection that was closed after the last answer would count as one that failed. Only that is mended
     // here: to repeat a call that discovery has seen would double its load when it has most.
-    let mut stream = match kept.filter(Stream::quiet) {
+    let mut stream = match kept.filter(Stream::is_idle) {
         Some(stream) => stream,
         None => platform.timeout(CONNECT, platform.connect(question.address)).await??,
     };
-    send_promptly(&stream);
+    enable_nodelay(&stream);
     stream.write_all(&client::encode_get(&question.target, "discovery")).await?;
     Ok(stream)
 }
@@ -317,15 +317,15 @@
     fn hand_on(&mut self, at: Instant) {
         let arrived = &self.list.records()[self.told..];
         if !arrived.is_empty() {
-            self.arrivals.arrived(arrived, self.list.index(), at);
+            self.arrivals.arrived(arrived, self.list.version(), at);
             self.told = self.list.records().len();
         }
     }
 
     /// Hands on what is known of the record that has come in part.
     fn hand_on_arriving(&mut self) {
-        if let Some(record) = self.list.arriving() {
-            self.arrivals.arrived(&[record], self.list.index(), self.platform.now());
+        if let Some(record) = self.list.partial_record() {
+            self.arrivals.arrived(&[record], self.list.version(), self.platform.now());
         }
     }
 
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -2,7 +2,7 @@
 //! response, and tells from how it ended whether the request can have run.
 
 use crate::counters::{Counters, count, invariant};
-use crate::directory::Directory;
+use crate::endpoint_table::EndpointTable;
 use crate::freshness;
 use crate::http::client::{Response, ResponseReader};
 use crate::http::server::BodyCoding;
@@ -84,7 +84,7 @@
     /// The connection pool.
     pub pool: Rc<ConnectionPool<P>>,
     /// Addresses of the endpoints, and which of them are draining.
-    pub directory: Rc<Directory>,
+    pub endpoints: Rc<EndpointTable>,
     /// The sidecar's counters.
     pub counters: Rc<Counters>,
 }
@@ -100,7 +100,7 @@
         Deadlines { end, write_by }: Deadlines,
         written: impl FnOnce(),
     ) -> io::Result<EndpointResponse> {
-        let address = self.directory.address(to).ok_or(io::ErrorKind::AddrNotAvailable)?;
+        let address = self.endpoints.address(to).ok_or(io::ErrorKind::AddrNotAvailable)?;
         let platform = self.pool.platform();
         let connect_by = write_by.map_or(end, |write_by| write_by.min(end));
         let connection = self.pool.get(to, address, connect_by).await;
@@ -139,7 +139,7 @@
         let response =
             read_response(self.pool.platform(), &mut connection.stream, &mut reader, READ_STALL_TIMEOUT)
                 .await?;
-        self.directory.answered(to, started, response.rejected(), platform.now());
+        self.endpoints.record_response(to, started, response.rejected(), platform.now());
         let is_streamed = response.streamed.is_some();
         if !is_streamed && reader.reusable() {
             self.pool.put(to, connection);
@@ -163,7 +163,7 @@
     /// and the connection for a request can become ready at the same time. Reading takes longer the longer the
     /// list is.
     async fn wait_for_notices(&self, endpoint: SocketAddr, until: Instant) -> io::Result<()> {
-        while self.directory.notices().any_unread() {
+        while self.endpoints.discovery_connections().any_unread() {
             if self.pool.platform().now() >= until {
                 return Err(self.not_started(endpoint, NotStarted::NoticesUnread));
             }
@@ -186,18 +186,18 @@
             let now = self.pool.platform().now();
             // A list that is not confirmed may have changed, and after a while the change counts as known to
             // this sidecar all the same.
-            let evidence = match self.directory.evidence(to, now) {
+            let evidence = match self.endpoints.evidence(to, now) {
                 Ok(evidence) => evidence,
                 Err(lack) => {
                     return Poll::Ready(Err(self.not_started(address, NotStarted::NoEvidence(lack))));
                 }
             };
-            if !self.directory.open_at(to, address) {
+            if !self.endpoints.is_open_at(to, address) {
                 return Poll::Ready(Err(self.not_started(address, NotStarted::NotListed)));
             }
             let written = Pin::new(&mut connection.stream).poll_write(context, message);
             if let Poll::Ready(Ok(_)) = written {
-                let open = self.directory.open(to);
+                let open = self.endpoints.is_open(to);
                 invariant(&self.counters, open, "no attempt starts at an endpoint that is barred");
                 let (version, age) = self.held_list();
                 tracing::debug!(endpoint = %address, version, ?age, ?evidence, "attempt begins");
@@ -221,7 +221,7 @@
 
     /// Version of the held list, and the time since discovery confirmed it.
     fn held_list(&self) -> (Option<i64>, Option<Duration>) {
-        (self.directory.version(), self.directory.confirmed_age(self.pool.platform().now()))
+        (self.endpoints.version(), self.endpoints.confirmed_age(self.pool.platform().now()))
     }
 
     /// Counts a retry that was not written completely before its deduplication window ended.
@@ -236,7 +236,7 @@
 enum NotStarted {
     /// Nothing shows that requests may be sent to the endpoint.
     #[error("nothing shows that requests may be sent to the endpoint: {0}")]
-    NoEvidence(freshness::Lack),
+    NoEvidence(freshness::NoEvidence),
     /// The endpoint is draining, was removed or has moved.
     #[error("the endpoint is draining, was removed or has moved")]
     NotListed,
--- a/crates/sidecar/src/frontend/connection.rs
+++ b/crates/sidecar/src/frontend/connection.rs
@@ -4,8 +4,8 @@
 use super::{ConnectionSlot, Frontend, HttpTransport, StreamOf, WaitingConnection};
 use crate::counters::count;
 use crate::http::server::{Connection, Status, Step};
-use crate::lifecycle::Machine;
-use crate::sockets::send_promptly;
+use crate::lifecycle::LifecycleState;
+use crate::sockets::enable_nodelay;
 use crate::upload::{ReadTimeout, Upload};
 use cometcroft_platform::{Platform, Stream};
 use std::io;
@@ -28,7 +28,7 @@
         mut stream: StreamOf<T>,
         slot: &mut ConnectionSlot<T>,
     ) -> io::Result<()> {
-        send_promptly(&stream);
+        enable_nodelay(&stream);
         let mut connection = Connection::default();
         let connected = self.platform.now();
         let (mut since, mut is_first) = (connected, true);
@@ -70,7 +70,7 @@
                         Read::Closed => return Ok(()),
                         // An unread request is served first. The runtime may not have reported it yet, and does
                         // not before this task waits.
-                        Read::ShuttingDown | Read::Evicted if !stream.quiet() => {
+                        Read::ShuttingDown | Read::Evicted if !stream.is_idle() => {
                             self.platform.sleep(UNREAD_POLL_INTERVAL).await;
                         }
                         // A request may arrive at this moment. It is not served any more, but a close over
@@ -138,13 +138,14 @@
         self.waiting.borrow_mut().insert(ticket, WaitingConnection { wake: wake.clone(), incomplete_since });
         // A connection that was accepted just now may carry a request that has not been read.
         let grace = incomplete_since.map(|since| since + NEW_CONNECTION_GRACE);
-        let shutting_down =
-            |machine: &Machine| machine.idle_until(close_position).map(|at| grace.map_or(at, |g| at.max(g)));
+        let shutting_down = |state: &LifecycleState| {
+            state.idle_close_at(close_position).map(|at| grace.map_or(at, |g| at.max(g)))
+        };
         let read = tokio::select! {
             biased;
             read = stream.read_buf(connection.buffer()) => read.map(|n| if n > 0 { Read::Bytes(n) } else { Read::Closed }),
             () = wake.notified() => Ok(Read::Evicted),
-            () = self.life.until(shutting_down), if is_idle => Ok(Read::ShuttingDown),
+            () = self.lifecycle.wait_until(shutting_down), if is_idle => Ok(Read::ShuttingDown),
             () = self.platform.sleep_until(until), if incomplete_since.is_some() => {
                 count(&self.counters.frontend_mute);
                 Ok(Read::TimedOut)
--- a/crates/sidecar/src/frontend/mod.rs
+++ b/crates/sidecar/src/frontend/mod.rs
@@ -13,9 +13,9 @@
 use crate::counters::{Counters, count};
 use crate::exchange::EndpointResponse;
 use crate::fleet::Fleet;
-use crate::lifecycle::{Life, Machine};
+use crate::lifecycle::{Lifecycle, LifecycleState};
 use crate::requests::{RequestDriver, Transport};
-use crate::sockets::lacks_descriptor;
+use crate::sockets::is_out_of_descriptors;
 use crate::upload::BodyMemory;
 use bytes::Bytes;
 use cometcroft::Settings;
@@ -49,7 +49,7 @@
     driver: Rc<RequestDriver<T>>,
     classes: RefCell<ClassRegistry>,
     tenants: RefCell<Vec<String>>,
-    life: Rc<Life<T::Platform>>,
+    lifecycle: Rc<Lifecycle<T::Platform>>,
     counters: Rc<Counters>,
     max_connections: usize,
     /// Maximum number of additional connections that are being closed.
@@ -81,7 +81,7 @@
         driver: Rc<RequestDriver<T>>,
         classes: ClassRegistry,
         tenants: Vec<String>,
-        life: Rc<Life<T::Platform>>,
+        lifecycle: Rc<Lifecycle<T::Platform>>,
         counters: Rc<Counters>,
         [max_connections, max_lingering, memory]: [usize; 3],
         fleet: Option<Rc<Fleet<T::Platform>>>,
@@ -91,7 +91,7 @@
             driver,
             classes: RefCell::new(classes),
             tenants: RefCell::new(tenants),
-            life,
+            lifecycle,
             counters,
             max_connections,
             max_lingering,
@@ -112,7 +112,7 @@
         let mut classes = self.classes.borrow_mut();
         let previous_classes = classes.apply_settings(names, &settings.classes, self.platform.now());
         settings.classes = classes.classes();
-        self.counters.figures.name(&classes.names());
+        self.counters.request_stats.set_class_names(&classes.names());
         self.tenants.replace(tenants);
         self.driver.apply_settings(settings, previous_classes);
     }
@@ -122,13 +122,13 @@
     pub async fn run(self: Rc<Self>, listener: ListenerOf<T>) {
         tokio::select! {
             biased;
-            () = self.life.until(Machine::accepts_until) => {}
+            () = self.lifecycle.wait_until(LifecycleState::accepts_until) => {}
             () = self.accept(&listener) => {}
         }
         // A connection accepted by the operating system belongs to this process and would be reset with the
         // listener. A listener shared with a successor stays open, and connections waiting there are the
         // successor's.
-        if !self.life.ask(|machine, _| machine.shared()) {
+        if !self.lifecycle.query(|state, _| state.shares_listener()) {
             self.accept_waiting(&listener).await;
         }
         drop(listener);
@@ -138,7 +138,7 @@
     }
 
     async fn accept(self: &Rc<Self>, listener: &ListenerOf<T>) {
-        self.life.until(|machine| Some(machine.accepts_from())).await;
+        self.lifecycle.wait_until(|state| Some(state.accepts_from())).await;
         loop {
             // Beyond the limit of descriptors nothing works any more, so room is made or awaited before the
             // next client is accepted.
@@ -167,7 +167,7 @@
                 // be waiting.
                 Ok(Err(error)) => {
                     count(&self.counters.accept_failures);
-                    if lacks_descriptor(&error) {
+                    if is_out_of_descriptors(&error) {
                         self.evict();
                     }
                     self.platform.sleep(ACCEPT_RETRY_DELAY).await;
@@ -221,7 +221,7 @@
             Ok(stream) => return stream,
             Err(error) => {
                 count(&counters.accept_failures);
-                if lacks_descriptor(&error) {
+                if is_out_of_descriptors(&error) {
                     make_room();
                 }
                 platform.sleep(ACCEPT_RETRY_DELAY).await;
--- a/crates/sidecar/src/frontend/request.rs
+++ b/crates/sidecar/src/frontend/request.rs
@@ -3,14 +3,14 @@
 
 use super::{Frontend, HttpTransport, StreamOf};
 use crate::attempt::ForwardedRequest;
+use crate::budget_driver::ConcurrencyGuard;
 use crate::classes::RequestForm;
 use crate::counters::count;
 use crate::exchange::EndpointResponse;
-use crate::figures::Tally;
 use crate::http::server::{CALL_ID, Connection, Request, Status};
 use crate::http::{BodyPiece, ParseError};
-use crate::lifecycle::Machine;
-use crate::purse::Held as BudgetHold;
+use crate::lifecycle::LifecycleState;
+use crate::request_stats::ClassStats;
 use crate::requests::{FinalResponse, NewRequest};
 use crate::upload::{ReadTimeout, Upload};
 use bytes::Bytes;
@@ -40,10 +40,11 @@
         since: Instant,
     ) -> io::Result<Option<Instant>> {
         let mut pipelined_since = (upload.is_none() && connection.has_pipelined()).then_some(since);
-        let closing = || self.life.ask(Machine::closes);
+        let closing = || self.lifecycle.query(LifecycleState::closes_connections);
         if request.method == "GET" && request.path() == b"/up" {
             // Without an endpoint list, requests can't be sent anywhere.
-            let status = if self.life.ask(Machine::wanted) { Status::Ok } else { Status::Unavailable };
+            let status =
+                if self.lifecycle.query(LifecycleState::is_ready) { Status::Ok } else { Status::Unavailable };
             self.respond(stream, connection, status, "", b"", closing()).await?;
             return Ok(Some(pipelined_since.unwrap_or_else(|| self.platform.now())));
         }
@@ -88,19 +89,19 @@
         };
         let (class, payload) = (new_request.class, new_request.payload.clone());
         // Released with the response.
-        let _budget_hold = match self.reserve_budget(&payload) {
-            Ok(budget_hold) => budget_hold,
+        let _concurrency_guard = match self.reserve_budget(&payload) {
+            Ok(guard) => guard,
             Err(retry_after) => {
                 drop(id);
                 count(&self.counters.budget_refused);
-                self.counters.figures.count(class, |tally| &mut tally.throttled);
+                self.counters.request_stats.increment(class, |stats| &mut stats.throttled);
                 // The rest of the body would be taken for the next request, so the connection is closed.
                 self.reject(stream, connection, Some(retry_after), !complete || closing()).await?;
                 return Ok(complete.then(|| pipelined_since.unwrap_or_else(|| self.platform.now())));
             }
         };
         // A request counts as open once its last byte has arrived.
-        let mut _open_count = complete.then(|| self.counters.figures.begin());
+        let mut _open_count = complete.then(|| self.counters.request_stats.begin_request());
         let time_budget = payload.request.time_budget().unwrap_or_default();
         let mut response_due = None;
         let _class_hold = ClassHold::take(self, class);
@@ -136,7 +137,7 @@
                     () = self.platform.sleep_until(response_due.unwrap_or(deadline)), if response_due.is_some() => {
                         break FinalResponse::TimedOut;
                     }
-                    () = self.life.until(Machine::answered_by) => break FinalResponse::TimedOut,
+                    () = self.lifecycle.wait_until(LifecycleState::final_response_deadline) => break FinalResponse::TimedOut,
                 };
                 match (input, upload_in_progress) {
                     (ClientInput::Disconnected, _) => return Ok(None),
@@ -148,7 +149,7 @@
                     }
                     // The time for the response starts now.
                     (ClientInput::Received, Some(upload)) if upload.is_complete() => {
-                        _open_count = Some(self.counters.figures.begin());
+                        _open_count = Some(self.counters.request_stats.begin_request());
                         response_due = Some(self.platform.now() + time_left(time_budget, Duration::ZERO).1);
                     }
                     (ClientInput::Received, Some(_)) => {}
@@ -158,7 +159,8 @@
         // The id is released before the client can see the response, since it may use the id again at once.
         drop(id);
         let close = closing();
-        let tally = |what: fn(&mut Tally) -> &mut u64| self.counters.figures.count(class, what);
+        let record =
+            |what: fn(&mut ClassStats) -> &mut u64| self.counters.request_stats.increment(class, what);
         match response {
             FinalResponse::Served(EndpointResponse { response, remaining_body }) => {
                 let content_type = response.headers.single("content-type").ok().flatten();
@@ -166,7 +168,7 @@
                 let extra =
                     content_type.map(|value| format!("Content-Type: {value}\r\n")).unwrap_or_default();
                 let Some(streamed) = response.streamed else {
-                    tally(|tally| &mut tally.fulfilled);
+                    record(|stats| &mut stats.fulfilled);
                     self.respond(stream, connection, Status::Ok, &extra, &response.body, close).await?;
                     return Ok(Some(pipelined_since.unwrap_or_else(|| self.platform.now())));
                 };
@@ -175,19 +177,19 @@
                 // The client must be able to detect an incomplete response, so when a transfer breaks off, the
                 // connection is closed without the final chunk or before the stated length.
                 let complete = self.relay(stream, head, coding, response.body, remaining_body).await;
-                tally(if complete.is_ok() {
-                    |tally| &mut tally.fulfilled
+                record(if complete.is_ok() {
+                    |stats| &mut stats.fulfilled
                 } else {
-                    |tally| &mut tally.faulted
+                    |stats| &mut stats.faulted
                 });
                 complete?;
             }
             FinalResponse::Rejected { retry_after } => {
-                tally(|tally| &mut tally.throttled);
+                record(|stats| &mut stats.throttled);
                 self.reject(stream, connection, retry_after, close).await?;
             }
             FinalResponse::Failed | FinalResponse::TimedOut => {
-                tally(|tally| &mut tally.faulted);
+                record(|stats| &mut stats.faulted);
                 let timed_out = matches!(response, FinalResponse::TimedOut);
                 let status = if timed_out { Status::GatewayTimeout } else { Status::BadGateway };
                 self.respond(stream, connection, status, "", b"", close).await?;
@@ -200,7 +202,7 @@
     fn reserve_budget(
         &self,
         payload: &ForwardedRequest,
-    ) -> Result<Option<BudgetHold<T::Platform>>, Duration> {
+    ) -> Result<Option<ConcurrencyGuard<T::Platform>>, Duration> {
         let Some(fleet) = &self.fleet else { return Ok(None) };
         let caller = payload.request.headers.single("x-caller").ok().flatten();
         fleet.admit(caller.map(|caller| &caller[..]))
@@ -244,7 +246,7 @@
     /// Waits until a client whose bytes are not being read has disconnected; afterwards no attempt may start
     /// for it.
     async fn wait_for_disconnect(&self, stream: &StreamOf<T>) {
-        while !stream.ended() {
+        while !stream.is_read_closed() {
             self.platform.sleep(DISCONNECT_POLL_INTERVAL).await;
         }
     }
@@ -281,7 +283,10 @@
         let client_retry = request.headers.lists("x-again", "1");
         let (time_left, deadline) = time_left(request.time_budget()?, self.platform.since(since));
         let now = self.platform.now();
-        let until_shutdown = self.life.ask(Machine::due).map(|at| at.saturating_duration_since(now));
+        let until_shutdown = self
+            .lifecycle
+            .query(LifecycleState::response_deadline)
+            .map(|at| at.saturating_duration_since(now));
         // The time for the body of a large request comes on top of the client's limit; the shutdown deadline
         // extends for neither, since SIGKILL follows.
         let (time_left, deadline) = (time_left + body_time, deadline + body_time);
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -3,7 +3,7 @@
 use crate::counters::{Counters, count};
 use crate::dial::{self, AttemptDelay};
 use crate::fleet::Fleet;
-use crate::sockets::send_promptly;
+use crate::sockets::enable_nodelay;
 use cometcroft::EndpointId;
 use cometcroft_platform::{Platform, Stream};
 use std::cell::{Cell, RefCell};
@@ -116,7 +116,7 @@
     /// overload the endpoints.
     async fn await_budget(&self, until: Instant) -> io::Result<()> {
         match &self.fleet {
-            Some(fleet) if !fleet.connects(until).await => {
+            Some(fleet) if !fleet.wait_to_connect(until).await => {
                 count(&self.counters.connections_barred);
                 Err(io::ErrorKind::QuotaExceeded.into())
             }
@@ -133,7 +133,7 @@
         let started = self.platform.now();
         let stream = self.platform.connect(address).await?;
         self.attempt_delay.learn(self.platform.since(started));
-        send_promptly(&stream);
+        enable_nodelay(&stream);
         count(&self.counters.backend_connections);
         Ok(PooledConnection { stream, address, _slot: slot })
     }
@@ -153,7 +153,7 @@
         };
         while let Some(index) = rested(connections) {
             let stream = connections.remove(index).stream;
-            if stream.quiet() {
+            if stream.is_idle() {
                 return Some(stream);
             }
             count(&self.counters.backend_stale);
--- a/crates/sidecar/tests/crossings.rs
+++ b/crates/sidecar/tests/crossings.rs
@@ -5,13 +5,14 @@
 
 use cometcroft_platform::{Platform, Tokio};
 use cometcroft_sidecar::counters::Counters;
-use cometcroft_sidecar::directory::Directory;
 use cometcroft_sidecar::endpoint_list::EndpointList;
+use cometcroft_sidecar::endpoint_table::EndpointTable;
 use cometcroft_sidecar::exchange::{Deadlines, Exchanger};
 use cometcroft_sidecar::pool::ConnectionPool;
-use common::story::{
-    BOOK, Gated, PLAN, Peer, confirm_all, confirmed_story, confirmed_story_with, next, pushed, reaches, rest,
-    row, slow_dials, story, story_with, watch,
+use common::in_process::{
+    BOOK_REQUEST, GatedPlatform, PLAN_REQUEST, TestConnection, accept, confirm_all_calls, endpoint_entry,
+    is_served, open_watch, wait_until_reusable, with_confirmed_sidecar, with_confirmed_sidecar_config,
+    with_pushed_lists, with_sidecar, with_sidecar_config, with_slow_connects,
 };
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -33,15 +34,15 @@
 /// the same.
 #[test]
 fn with_pushed_lists_discovery_is_called_at_once_and_watched() {
-    story_with(pushed, |sidecar| async move {
-        let mut discovery = next(&sidecar.discovery).await;
-        assert!(discovery.hear().await.starts_with("GET /discovery/hosts?from=1&hold_ms=0 "));
-        discovery.say(&list_response(2, false, "")).await;
-        assert!(discovery.hear().await.starts_with("GET /discovery/hosts?from=2&hold_ms="));
-        assert!(reaches(&sidecar).await);
-        discovery.say(&list_response(3, false, &row(&sidecar, "draining"))).await;
-        assert!(discovery.hear().await.contains("?from=3&"));
-        assert!(!reaches(&sidecar).await, "its only endpoint is draining");
+    with_sidecar_config(with_pushed_lists, |sidecar| async move {
+        let mut discovery = accept(&sidecar.discovery).await;
+        assert!(discovery.receive().await.starts_with("GET /discovery/hosts?from=1&hold_ms=0 "));
+        discovery.send(&list_response(2, false, "")).await;
+        assert!(discovery.receive().await.starts_with("GET /discovery/hosts?from=2&hold_ms="));
+        assert!(is_served(&sidecar).await);
+        discovery.send(&list_response(3, false, &endpoint_entry(&sidecar, "draining"))).await;
+        assert!(discovery.receive().await.contains("?from=3&"));
+        assert!(!is_served(&sidecar).await, "its only endpoint is draining");
     });
 }
 
@@ -49,21 +50,21 @@
 /// discovery responds again.
 #[test]
 fn a_discovery_that_is_silent_is_called_until_it_responds() {
-    story_with(pushed, |sidecar| async move {
+    with_sidecar_config(with_pushed_lists, |sidecar| async move {
         for _ in 0..6 {
-            let mut silent = next(&sidecar.discovery).await;
-            assert!(silent.hear().await.contains("?from=1&hold_ms=0 "));
+            let mut silent = accept(&sidecar.discovery).await;
+            assert!(silent.receive().await.contains("?from=1&hold_ms=0 "));
             assert_eq!(
-                silent.hear().await,
+                silent.receive().await,
                 "",
                 "the call is cancelled with its connection, so no response can arrive late"
             );
         }
-        let mut discovery = next(&sidecar.discovery).await;
-        discovery.hear().await;
-        discovery.say(&list_response(2, true, &row(&sidecar, "draining"))).await;
-        assert!(discovery.hear().await.contains("?from=2&"));
-        assert!(!reaches(&sidecar).await);
+        let mut discovery = accept(&sidecar.discovery).await;
+        discovery.receive().await;
+        discovery.send(&list_response(2, true, &endpoint_entry(&sidecar, "draining"))).await;
+        assert!(discovery.receive().await.contains("?from=2&"));
+        assert!(!is_served(&sidecar).await);
         assert_eq!(sidecar.counters.discovery_silent.get(), 6);
     });
 }
@@ -72,19 +73,19 @@
 /// is started beside it in time and asks for changes without waiting; its response counts.
 #[test]
 fn a_silent_call_after_a_failed_one_is_followed_by_another_in_time() {
-    story(|sidecar| async move {
+    with_sidecar(|sidecar| async move {
         for _ in 0..2 {
-            let mut discovery = next(&sidecar.discovery).await;
-            discovery.hear().await;
-            discovery.say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
+            let mut discovery = accept(&sidecar.discovery).await;
+            discovery.receive().await;
+            discovery.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
         }
-        let mut silent = next(&sidecar.discovery).await;
-        assert!(silent.hear().await.contains("?from=1&hold_ms="));
-        let mut second = next(&sidecar.discovery).await;
-        assert!(second.hear().await.contains("?from=1&hold_ms=0 "), "it asks for changes without waiting");
-        second.say(&list_response(2, true, &row(&sidecar, "draining"))).await;
-        assert!(second.hear().await.contains("?from=2&"));
-        assert!(!reaches(&sidecar).await);
+        let mut silent = accept(&sidecar.discovery).await;
+        assert!(silent.receive().await.contains("?from=1&hold_ms="));
+        let mut second = accept(&sidecar.discovery).await;
+        assert!(second.receive().await.contains("?from=1&hold_ms=0 "), "it asks for changes without waiting");
+        second.send(&list_response(2, true, &endpoint_entry(&sidecar, "draining"))).await;
+        assert!(second.receive().await.contains("?from=2&"));
+        assert!(!is_served(&sidecar).await);
         assert_eq!(sidecar.counters.discovery_failures.get(), 2);
     });
 }
@@ -93,16 +94,16 @@
 /// one, and its response counts if it arrives first.
 #[test]
 fn the_late_response_to_an_overdue_call_still_counts() {
-    story(|sidecar| async move {
-        let mut late = next(&sidecar.discovery).await;
-        assert!(late.hear().await.contains("?from=1&hold_ms="));
-        let mut second = next(&sidecar.discovery).await;
-        assert!(second.hear().await.contains("?from=1&hold_ms=0 "));
-        late.say(&list_response(2, true, &row(&sidecar, "draining"))).await;
-        assert!(!reaches(&sidecar).await, "the late response counts");
-        second.say(&list_response(1, false, "")).await;
+    with_sidecar(|sidecar| async move {
+        let mut late = accept(&sidecar.discovery).await;
+        assert!(late.receive().await.contains("?from=1&hold_ms="));
+        let mut second = accept(&sidecar.discovery).await;
+        assert!(second.receive().await.contains("?from=1&hold_ms=0 "));
+        late.send(&list_response(2, true, &endpoint_entry(&sidecar, "draining"))).await;
+        assert!(!is_served(&sidecar).await, "the late response counts");
+        second.send(&list_response(1, false, "")).await;
         assert!(
-            second.hear().await.contains("?from=2&"),
+            second.receive().await.contains("?from=2&"),
             "an older response to the second call is no failure"
         );
         assert_eq!(sidecar.counters.discovery_older.get(), 0);
@@ -113,29 +114,29 @@
 /// never readmits them.
 #[test]
 fn an_older_list_only_excludes_endpoints_until_it_is_repeated() {
-    story(|sidecar| async move {
-        let mut discovery = next(&sidecar.discovery).await;
-        discovery.hear().await;
-        discovery.say(&list_response(7, false, &row(&sidecar, "draining"))).await;
-        assert!(discovery.hear().await.contains("?from=7&"));
-        discovery.say(&list_response(6, true, &row(&sidecar, "up"))).await;
+    with_sidecar(|sidecar| async move {
+        let mut discovery = accept(&sidecar.discovery).await;
+        discovery.receive().await;
+        discovery.send(&list_response(7, false, &endpoint_entry(&sidecar, "draining"))).await;
+        assert!(discovery.receive().await.contains("?from=7&"));
+        discovery.send(&list_response(6, true, &endpoint_entry(&sidecar, "up"))).await;
         for older in 1..3 {
-            let mut discovery = next(&sidecar.discovery).await;
+            let mut discovery = accept(&sidecar.discovery).await;
             assert!(
-                discovery.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"),
+                discovery.receive().await.starts_with("GET /discovery/hosts HTTP/1.1"),
                 "it asks for the complete list"
             );
-            assert!(!reaches(&sidecar).await);
+            assert!(!is_served(&sidecar).await);
             assert_eq!(sidecar.counters.discovery_older.get(), older);
-            discovery.say(&list_response(6, true, &row(&sidecar, "up"))).await;
+            discovery.send(&list_response(6, true, &endpoint_entry(&sidecar, "up"))).await;
             if older == 2 {
                 assert!(
-                    discovery.hear().await.contains("?from=6&"),
+                    discovery.receive().await.contains("?from=6&"),
                     "after three times the list is accepted"
                 );
             }
         }
-        assert!(reaches(&sidecar).await);
+        assert!(is_served(&sidecar).await);
         assert_eq!(sidecar.counters.discovery_older.get(), 2);
     });
 }
@@ -143,20 +144,20 @@
 /// The old call is dropped before the new one starts, so its response can't arrive after the other's.
 #[test]
 fn the_late_response_to_a_cancelled_call_is_ignored() {
-    story(|sidecar| async move {
-        let mut old = next(&sidecar.discovery).await;
-        old.hear().await;
-        let mut new = next(&sidecar.discovery).await;
-        new.hear().await;
-        new.say(&list_response(9, false, &row(&sidecar, "draining"))).await;
-        assert!(new.hear().await.contains("?from=9&"));
+    with_sidecar(|sidecar| async move {
+        let mut old = accept(&sidecar.discovery).await;
+        old.receive().await;
+        let mut new = accept(&sidecar.discovery).await;
+        new.receive().await;
+        new.send(&list_response(9, false, &endpoint_entry(&sidecar, "draining"))).await;
+        assert!(new.receive().await.contains("?from=9&"));
         let _ = tokio::io::AsyncWriteExt::write_all(
             &mut old.0,
-            list_response(8, true, &row(&sidecar, "up")).as_bytes(),
+            list_response(8, true, &endpoint_entry(&sidecar, "up")).as_bytes(),
         )
         .await;
-        rest().await;
-        assert!(!reaches(&sidecar).await);
+        wait_until_reusable().await;
+        assert!(!is_served(&sidecar).await);
     });
 }
 
@@ -164,20 +165,20 @@
 /// start.
 #[test]
 fn a_drain_notified_while_connecting_prevents_the_attempt() {
-    story_with(slow_dials, |sidecar| async move {
-        let mut discovery = watch(&sidecar).await;
-        sidecar.gates.shut(sidecar.server());
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
-        sidecar.gates.waits().await;
-        discovery.say(&list_response(2, false, &row(&sidecar, "draining"))).await;
-        assert!(discovery.hear().await.contains("?from=2&"));
+    with_sidecar_config(with_slow_connects, |sidecar| async move {
+        let mut discovery = open_watch(&sidecar).await;
+        sidecar.gates.block(sidecar.endpoint_address());
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
+        sidecar.gates.wait_until_blocked().await;
+        discovery.send(&list_response(2, false, &endpoint_entry(&sidecar, "draining"))).await;
+        assert!(discovery.receive().await.contains("?from=2&"));
         // Within the drain grace of 250 ms, which is not used up.
         Tokio.sleep(150 * MS).await;
-        sidecar.gates.open(sidecar.server());
-        let mut endpoint = next(&sidecar.backend).await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 503"));
-        assert_eq!(endpoint.hear().await, "", "nothing is sent");
+        sidecar.gates.unblock(sidecar.endpoint_address());
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 503"));
+        assert_eq!(endpoint.receive().await, "", "nothing is sent");
         assert_eq!(sidecar.counters.dispatch_barred.get(), 1);
     });
 }
@@ -185,29 +186,29 @@
 /// An interim response is no response: a call that is silent after it is repeated like any silent call.
 #[test]
 fn a_call_that_is_silent_after_a_heartbeat_is_made_again() {
-    story_with(pushed, |sidecar| async move {
-        let mut heartbeat = next(&sidecar.discovery).await;
-        heartbeat.hear().await;
-        heartbeat.say("HTTP/1.1 102 Processing\r\n\r\n").await;
-        let mut again = next(&sidecar.discovery).await;
-        assert!(again.hear().await.contains("?from=1&hold_ms=0 "));
-        assert_eq!(heartbeat.hear().await, "");
+    with_sidecar_config(with_pushed_lists, |sidecar| async move {
+        let mut heartbeat = accept(&sidecar.discovery).await;
+        heartbeat.receive().await;
+        heartbeat.send("HTTP/1.1 102 Processing\r\n\r\n").await;
+        let mut again = accept(&sidecar.discovery).await;
+        assert!(again.receive().await.contains("?from=1&hold_ms=0 "));
+        assert_eq!(heartbeat.receive().await, "");
         assert_eq!(sidecar.counters.discovery_silent.get(), 1);
     });
 }
 
 #[test]
 fn a_drain_in_a_list_that_breaks_off_counts_once_its_entry_has_arrived() {
-    story(|sidecar| async move {
-        let mut discovery = next(&sidecar.discovery).await;
-        discovery.hear().await;
-        let list = list_response(2, false, &row(&sidecar, "draining"));
-        discovery.say(&list[..list.len() - 3]).await;
-        rest().await;
+    with_sidecar(|sidecar| async move {
+        let mut discovery = accept(&sidecar.discovery).await;
+        discovery.receive().await;
+        let list = list_response(2, false, &endpoint_entry(&sidecar, "draining"));
+        discovery.send(&list[..list.len() - 3]).await;
+        wait_until_reusable().await;
         discovery.reset();
-        let mut again = next(&sidecar.discovery).await;
-        assert!(again.hear().await.contains("?from=1&hold_ms=0 "), "it asks for the rest at once");
-        assert!(!reaches(&sidecar).await);
+        let mut again = accept(&sidecar.discovery).await;
+        assert!(again.receive().await.contains("?from=1&hold_ms=0 "), "it asks for the rest at once");
+        assert!(!is_served(&sidecar).await);
         assert_eq!((sidecar.counters.discovery_bad.get(), sidecar.counters.discovery_failures.get()), (1, 0));
     });
 }
@@ -216,14 +217,14 @@
 /// is draining.
 #[test]
 fn an_outdated_configured_list_is_replaced_and_a_whole_tier_may_drain() {
-    story(|sidecar| async move {
-        let mut discovery = next(&sidecar.discovery).await;
-        assert!(discovery.hear().await.contains("?from=1&"));
-        discovery.say(&list_response(40, true, &row(&sidecar, "draining"))).await;
-        assert!(discovery.hear().await.contains("?from=40&"));
-        let mut client = Peer::to(&sidecar).await;
-        client.say(BOOK).await;
-        let response = client.hear().await;
+    with_sidecar(|sidecar| async move {
+        let mut discovery = accept(&sidecar.discovery).await;
+        assert!(discovery.receive().await.contains("?from=1&"));
+        discovery.send(&list_response(40, true, &endpoint_entry(&sidecar, "draining"))).await;
+        assert!(discovery.receive().await.contains("?from=40&"));
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(BOOK_REQUEST).await;
+        let response = client.receive().await;
         assert!(response.starts_with("HTTP/1.1 503") && response.contains("Retry-After: "), "{response}");
         assert_eq!(sidecar.counters.dispatches.get(), 0);
     });
@@ -239,22 +240,22 @@
 }
 
 /// Disconnects a client: by an orderly end or by a reset.
-fn disconnect(client: Peer, reset: bool) {
+fn disconnect(client: TestConnection, reset: bool) {
     if reset { client.reset() } else { drop(client) }
 }
 
 #[test]
 fn nothing_is_sent_for_a_client_that_disconnects_while_connecting() {
     for reset in [false, true] {
-        confirmed_story_with(slow_dials, |sidecar| async move {
-            sidecar.gates.shut(sidecar.server());
-            let mut client = Peer::to(&sidecar).await;
-            client.say(BOOK).await;
-            sidecar.gates.waits().await;
+        with_confirmed_sidecar_config(with_slow_connects, |sidecar| async move {
+            sidecar.gates.block(sidecar.endpoint_address());
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send(BOOK_REQUEST).await;
+            sidecar.gates.wait_until_blocked().await;
             disconnect(client, reset);
-            rest().await;
-            sidecar.gates.open(sidecar.server());
-            rest().await;
+            wait_until_reusable().await;
+            sidecar.gates.unblock(sidecar.endpoint_address());
+            wait_until_reusable().await;
             let counters = &sidecar.counters;
             assert_eq!((counters.withdrawn.get(), counters.backend_connections.get()), (1, 0));
         });
@@ -266,17 +267,17 @@
 #[test]
 fn nothing_is_sent_for_a_client_that_disconnects_while_its_body_waits_for_room() {
     for reset in [false, true] {
-        confirmed_story_with(slow_dials, |sidecar| async move {
-            sidecar.gates.shut(sidecar.server());
-            let mut client = Peer::to(&sidecar).await;
-            client.say("POST /book HTTP/1.1\r\nX-Call-Id: 9\r\nX-Budget: 9000m\r\nContent-Length: 3000000\r\n\r\n").await;
-            client.say(&"b".repeat(1_300_000)).await;
-            sidecar.gates.waits().await;
+        with_confirmed_sidecar_config(with_slow_connects, |sidecar| async move {
+            sidecar.gates.block(sidecar.endpoint_address());
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send("POST /book HTTP/1.1\r\nX-Call-Id: 9\r\nX-Budget: 9000m\r\nContent-Length: 3000000\r\n\r\n").await;
+            client.send(&"b".repeat(1_300_000)).await;
+            sidecar.gates.wait_until_blocked().await;
             disconnect(client, reset);
             Tokio.sleep(Duration::from_millis(90)).await;
             assert_eq!(sidecar.counters.withdrawn.get(), 1, "reset: {reset}");
-            sidecar.gates.open(sidecar.server());
-            rest().await;
+            sidecar.gates.unblock(sidecar.endpoint_address());
+            wait_until_reusable().await;
             assert_eq!(sidecar.counters.backend_connections.get(), 0);
         });
     }
@@ -285,18 +286,18 @@
 #[test]
 fn no_attempt_follows_for_a_client_that_disconnects_between_two_attempts() {
     for reset in [false, true] {
-        confirmed_story_with(slow_dials, |sidecar| async move {
-            let mut client = Peer::to(&sidecar).await;
-            client.say(PLAN).await;
-            let mut endpoint = next(&sidecar.backend).await;
-            endpoint.hear().await;
-            sidecar.gates.shut(sidecar.server());
+        with_confirmed_sidecar_config(with_slow_connects, |sidecar| async move {
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send(PLAN_REQUEST).await;
+            let mut endpoint = accept(&sidecar.endpoint).await;
+            endpoint.receive().await;
+            sidecar.gates.block(sidecar.endpoint_address());
             endpoint.reset();
-            sidecar.gates.waits().await;
+            sidecar.gates.wait_until_blocked().await;
             disconnect(client, reset);
-            rest().await;
-            sidecar.gates.open(sidecar.server());
-            rest().await;
+            wait_until_reusable().await;
+            sidecar.gates.unblock(sidecar.endpoint_address());
+            wait_until_reusable().await;
             let counters = &sidecar.counters;
             assert_eq!((counters.dispatches.get(), counters.backend_connections.get()), (2, 1));
             assert_eq!((counters.withdrawn.get(), counters.served.get()), (1, 0));
@@ -308,16 +309,16 @@
 /// same, and the bytes are not kept.
 #[test]
 fn a_disconnect_behind_a_flood_of_bytes_is_seen() {
-    confirmed_story(|sidecar| async move {
+    with_confirmed_sidecar(|sidecar| async move {
         for (id, reset) in [(1, false), (2, true)] {
-            let mut client = Peer::to(&sidecar).await;
-            client.say(&PLAN.replace(": 1", &format!(": {id}"))).await;
-            let mut endpoint = next(&sidecar.backend).await;
-            endpoint.hear().await;
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send(&PLAN_REQUEST.replace(": 1", &format!(": {id}"))).await;
+            let mut endpoint = accept(&sidecar.endpoint).await;
+            endpoint.receive().await;
             let flood = "GET /plan/2 HTTP/1.1\r\nX-Pad: 0123456789\r\n\r\n".repeat(20_000);
-            client.say(&flood).await;
+            client.send(&flood).await;
             disconnect(client, reset);
-            assert_eq!(endpoint.hear().await, "", "its attempt is cancelled");
+            assert_eq!(endpoint.receive().await, "", "its attempt is cancelled");
             assert_eq!((sidecar.counters.withdrawn.get(), sidecar.counters.dispatches.get()), (id, id));
         }
     });
@@ -326,17 +327,17 @@
 /// A client that sends a flood of bytes and stays gets its response, and the connection closes with it.
 #[test]
 fn a_flood_behind_a_request_closes_its_connection_with_the_response() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
-        client.say(&"x".repeat(200_000)).await;
-        rest().await;
-        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").await;
-        let response = client.hear().await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
+        client.send(&"x".repeat(200_000)).await;
+        wait_until_reusable().await;
+        endpoint.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").await;
+        let response = client.receive().await;
         assert!(response.starts_with("HTTP/1.1 200") && response.contains("Connection: close"), "{response}");
-        assert_eq!(client.hear().await, "");
+        assert_eq!(client.receive().await, "");
         assert_eq!(sidecar.counters.sessions.get(), 1);
     });
 }
@@ -344,22 +345,22 @@
 /// Many clients that connect and disconnect at the same moment: none of their requests is sent on.
 #[test]
 fn nothing_is_sent_for_a_burst_that_disconnects_at_once() {
-    story_with(slow_dials, |sidecar| async move {
-        sidecar.gates.shut(sidecar.server());
+    with_sidecar_config(with_slow_connects, |sidecar| async move {
+        sidecar.gates.block(sidecar.endpoint_address());
         let mut burst = Vec::new();
         for id in 0..60 {
-            let mut client = Peer::to(&sidecar).await;
-            client.say(&PLAN.replace(": 1", &format!(": {id}"))).await;
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send(&PLAN_REQUEST.replace(": 1", &format!(": {id}"))).await;
             burst.push(client);
         }
-        rest().await;
+        wait_until_reusable().await;
         let accepted = sidecar.counters.sessions.get();
         for (id, client) in burst.into_iter().enumerate() {
             disconnect(client, id % 2 == 0);
         }
         block_thread(20 * MS);
-        sidecar.gates.open(sidecar.server());
-        rest().await;
+        sidecar.gates.unblock(sidecar.endpoint_address());
+        wait_until_reusable().await;
         let counters = &sidecar.counters;
         let rejected = counters.denied.get();
         assert_eq!((accepted, counters.withdrawn.get() + rejected), (60, 60));
@@ -370,14 +371,14 @@
 /// A client that closes its sending side counts as disconnected: the protocol has no half-close for clients.
 #[test]
 fn a_half_close_counts_as_a_disconnect_even_behind_a_pipelined_request() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say(&format!("{PLAN}{}", PLAN.replace(": 1", ": 7"))).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        assert!(endpoint.hear().await.contains("X-Call-Id: 1\r\n"));
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(&format!("{PLAN_REQUEST}{}", PLAN_REQUEST.replace(": 1", ": 7"))).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        assert!(endpoint.receive().await.contains("X-Call-Id: 1\r\n"));
         tokio::io::AsyncWriteExt::shutdown(&mut client.0).await.expect("a socket");
-        assert_eq!(endpoint.hear().await, "");
-        rest().await;
+        assert_eq!(endpoint.receive().await, "");
+        wait_until_reusable().await;
         assert_eq!((sidecar.counters.withdrawn.get(), sidecar.counters.sessions.get()), (1, 1));
     });
 }
@@ -393,26 +394,26 @@
 fn a_connection_that_waits_when_the_listener_closes_is_served() {
     // Connections that waited before it may have been closed already.
     for failing_accepts in [0, 1, 3] {
-        story(|sidecar| async move {
-            let _discovery = confirm_all(&sidecar);
-            sidecar.life.begin();
+        with_sidecar(|sidecar| async move {
+            let _discovery = confirm_all_calls(&sidecar);
+            sidecar.lifecycle.begin_shutdown();
             Tokio.sleep(ACCEPTS_FOR - 100 * MS).await;
             // Both are pending when the sidecar continues: the end of its time, and the request.
             let mut late = std::net::TcpStream::connect(&sidecar.address).expect("it listens");
-            std::io::Write::write_all(&mut late, PLAN.as_bytes()).expect("a request");
+            std::io::Write::write_all(&mut late, PLAN_REQUEST.as_bytes()).expect("a request");
             sidecar.gates.failing_accepts.set(failing_accepts);
             block_thread(200 * MS);
             late.set_nonblocking(true).expect("a socket");
-            let mut late = Peer(tokio::net::TcpStream::from_std(late).expect("a socket"));
-            let mut endpoint = next(&sidecar.backend).await;
-            endpoint.hear().await;
-            endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-            let response = late.hear().await;
+            let mut late = TestConnection(tokio::net::TcpStream::from_std(late).expect("a socket"));
+            let mut endpoint = accept(&sidecar.endpoint).await;
+            endpoint.receive().await;
+            endpoint.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+            let response = late.receive().await;
             assert!(
                 response.starts_with("HTTP/1.1 200") && response.contains("Connection: close"),
                 "{response}"
             );
-            sidecar.ended.await.expect("no panic").expect("a clean end");
+            sidecar.task.await.expect("no panic").expect("a clean end");
         });
     }
 }
@@ -421,74 +422,74 @@
 /// parsed, and its connection closes without a reset.
 #[test]
 fn a_request_that_crosses_the_close_of_an_idle_connection_is_served_or_closed_cleanly() {
-    confirmed_story(|sidecar| async move {
+    with_confirmed_sidecar(|sidecar| async move {
         let mut clients = Vec::new();
         // More connections than may linger while others need their slots.
         for _ in 0..20 {
-            let mut client = Peer::to(&sidecar).await;
-            client.say("GET /up HTTP/1.1\r\n\r\n").await;
-            assert!(client.hear().await.starts_with("HTTP/1.1 200"));
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send("GET /up HTTP/1.1\r\n\r\n").await;
+            assert!(client.receive().await.starts_with("HTTP/1.1 200"));
             clients.push(client);
         }
         let mut crossing = clients.remove(0);
-        sidecar.life.begin();
+        sidecar.lifecycle.begin_shutdown();
         Tokio.sleep(ACCEPTS_FOR - 100 * MS).await;
-        crossing.say(PLAN).await;
+        crossing.send(PLAN_REQUEST).await;
         block_thread(200 * MS);
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
         for idle in &mut clients {
             assert_eq!(idle.0.peek(&mut [0]).await.expect("an orderly end"), 0);
         }
         for _ in 0..3 {
             for idle in &mut clients {
-                idle.say(&PLAN.replace(": 1", ": 9")).await;
+                idle.send(&PLAN_REQUEST.replace(": 1", ": 9")).await;
             }
             Tokio.sleep(10 * MS).await;
         }
         for idle in &mut clients {
-            assert_eq!(idle.end().await.expect("no reset"), "");
+            assert_eq!(idle.read_to_end().await.expect("no reset"), "");
         }
-        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-        assert!(crossing.hear().await.contains("Connection: close"));
+        endpoint.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+        assert!(crossing.receive().await.contains("Connection: close"));
         assert_eq!(sidecar.counters.sessions.get(), 1);
-        sidecar.ended.await.expect("no panic").expect("a clean end");
+        sidecar.task.await.expect("no panic").expect("a clean end");
     });
 }
 
 /// A response that is being forwarded continues to its end although the time for new requests is over.
 #[test]
 fn a_response_half_forwarded_at_sigterm_is_completed() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
         let half = "x".repeat(100_000);
-        endpoint.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n{half}")).await;
-        sidecar.life.begin();
+        endpoint.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n{half}")).await;
+        sidecar.lifecycle.begin_shutdown();
         Tokio.sleep(ACCEPTS_FOR + 50 * MS).await;
-        assert!(!sidecar.ended.is_finished());
-        endpoint.say(&half).await;
-        let response = client.hear().await;
+        assert!(!sidecar.task.is_finished());
+        endpoint.send(&half).await;
+        let response = client.receive().await;
         assert!(response.starts_with("HTTP/1.1 200") && response.len() > 200_000, "{}", response.len());
-        sidecar.ended.await.expect("no panic").expect("a clean end");
+        sidecar.task.await.expect("no panic").expect("a clean end");
     });
 }
 
 /// An endpoint hangs at SIGTERM: its client gets a response before SIGKILL may come.
 #[test]
 fn an_endpoint_that_hangs_at_sigterm_costs_its_request_an_error_and_no_more() {
-    confirmed_story(|sidecar| async move {
-        sidecar.life.begin();
+    with_confirmed_sidecar(|sidecar| async move {
+        sidecar.lifecycle.begin_shutdown();
         Tokio.sleep(1000 * MS).await;
-        let mut client = Peer::to(&sidecar).await;
-        client.say(BOOK).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
-        let response = client.hear().await;
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(BOOK_REQUEST).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
+        let response = client.receive().await;
         assert!(response.starts_with("HTTP/1.1 50") && response.contains("Connection: close"), "{response}");
-        sidecar.ended.await.expect("no panic").expect("a clean end");
+        sidecar.task.await.expect("no panic").expect("a clean end");
         assert_eq!(sidecar.counters.dispatches.get(), 1);
     });
 }
@@ -497,12 +498,12 @@
 /// an orderly end.
 #[test]
 fn a_response_over_unread_bytes_is_not_lost_to_a_reset() {
-    story(|sidecar| async move {
+    with_sidecar(|sidecar| async move {
         for _ in 0..5 {
-            let mut client = Peer::to(&sidecar).await;
-            client.say("GET /nothing HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget: 9m\r\n\r\n").await;
-            client.say(&"x".repeat(300_000)).await;
-            let response = client.end().await.expect("no reset");
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send("GET /nothing HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget: 9m\r\n\r\n").await;
+            client.send(&"x".repeat(300_000)).await;
+            let response = client.read_to_end().await.expect("no reset");
             assert!(
                 response.starts_with("HTTP/1.1 400 ") && response.contains("Connection: close"),
                 "{response}"
@@ -516,20 +517,20 @@
 /// attempt.
 #[test]
 fn a_request_complete_too_late_for_an_attempt_is_rejected_at_once() {
-    story(|sidecar| async move {
-        sidecar.life.begin();
+    with_sidecar(|sidecar| async move {
+        sidecar.lifecycle.begin_shutdown();
         Tokio.sleep(ACCEPTS_FOR - 100 * MS).await;
-        let mut half = Peer::to(&sidecar).await;
-        let (head, rest) = PLAN.split_at(20);
-        half.say(head).await;
+        let mut half = TestConnection::to(&sidecar).await;
+        let (head, rest) = PLAN_REQUEST.split_at(20);
+        half.send(head).await;
         // Responses are due 3.4 s after SIGTERM.
         Tokio.sleep(1100 * MS).await;
-        half.say(rest).await;
-        let response = half.hear().await;
+        half.send(rest).await;
+        let response = half.receive().await;
         assert!(response.starts_with("HTTP/1.1 503") && response.contains("Retry-After: "), "{response}");
         assert!(response.contains("Connection: close"));
         assert_eq!((sidecar.counters.dispatches.get(), sidecar.counters.overdue.get()), (0, 0));
-        sidecar.ended.await.expect("no panic").expect("a clean end");
+        sidecar.task.await.expect("no panic").expect("a clean end");
     });
 }
 
@@ -541,20 +542,20 @@
 /// written to it.
 #[test]
 fn a_retry_whose_connection_comes_up_after_its_window_is_not_sent() {
-    confirmed_story_with(
-        |text| slow_dials(text).replace("\"key-ttl-ns\":5000000000", "\"key-ttl-ns\":800000000"),
+    with_confirmed_sidecar_config(
+        |text| with_slow_connects(text).replace("\"key-ttl-ns\":5000000000", "\"key-ttl-ns\":800000000"),
         |sidecar| async move {
-            let mut client = Peer::to(&sidecar).await;
-            client.say(PAY).await;
-            let mut endpoint = next(&sidecar.backend).await;
-            assert!(endpoint.hear().await.ends_with("hi"));
-            sidecar.gates.shut(sidecar.server());
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send(PAY).await;
+            let mut endpoint = accept(&sidecar.endpoint).await;
+            assert!(endpoint.receive().await.ends_with("hi"));
+            sidecar.gates.block(sidecar.endpoint_address());
             endpoint.reset();
-            sidecar.gates.waits().await;
+            sidecar.gates.wait_until_blocked().await;
             // All endpoints have dropped the key by now, so advising the client to retry does no harm.
-            assert!(client.hear().await.starts_with("HTTP/1.1 503"));
-            sidecar.gates.open(sidecar.server());
-            rest().await;
+            assert!(client.receive().await.starts_with("HTTP/1.1 503"));
+            sidecar.gates.unblock(sidecar.endpoint_address());
+            wait_until_reusable().await;
             let counters = &sidecar.counters;
             assert_eq!((counters.dispatch_outlived.get(), counters.backend_connections.get()), (1, 1));
         },
@@ -565,29 +566,29 @@
 /// the settings say about windows.
 #[test]
 fn a_retry_in_its_window_is_sent_and_an_unsafe_request_is_not_retried() {
-    confirmed_story_with(slow_dials, |sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PAY).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
-        sidecar.gates.shut(sidecar.server());
+    with_confirmed_sidecar_config(with_slow_connects, |sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PAY).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
+        sidecar.gates.block(sidecar.endpoint_address());
         endpoint.reset();
-        sidecar.gates.waits().await;
-        sidecar.gates.open(sidecar.server());
-        let mut endpoint = next(&sidecar.backend).await;
-        assert!(endpoint.hear().await.ends_with("hi"));
-        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 200"));
-        client.say(BOOK).await;
-        rest().await;
+        sidecar.gates.wait_until_blocked().await;
+        sidecar.gates.unblock(sidecar.endpoint_address());
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        assert!(endpoint.receive().await.ends_with("hi"));
+        endpoint.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 200"));
+        client.send(BOOK_REQUEST).await;
+        wait_until_reusable().await;
         // On the pooled connection or on a new one.
         let mut endpoint = tokio::select! {
             _ = Tokio.sleep(50 * MS) => endpoint,
-            another = next(&sidecar.backend) => another,
+            another = accept(&sidecar.endpoint) => another,
         };
-        assert!(endpoint.hear().await.contains("/book"));
+        assert!(endpoint.receive().await.contains("/book"));
         endpoint.reset();
-        assert!(client.hear().await.starts_with("HTTP/1.1 502"));
+        assert!(client.receive().await.starts_with("HTTP/1.1 502"));
         assert_eq!((sidecar.counters.dispatches.get(), sidecar.counters.dispatch_outlived.get()), (3, 0));
     });
 }
@@ -595,26 +596,26 @@
 /// The endpoint closes a pooled connection as it is reused for the next request, which may have run.
 #[test]
 fn a_pooled_connection_closed_as_it_is_reused_may_have_run_its_request() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        for (request, status) in [(BOOK, "502"), (PLAN, "200")] {
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        for (request, status) in [(BOOK_REQUEST, "502"), (PLAN_REQUEST, "200")] {
             client
-                .say("POST /book HTTP/1.1\r\nX-Call-Id: 8\r\nX-Budget: 2000m\r\nContent-Length: 0\r\n\r\n")
+                .send("POST /book HTTP/1.1\r\nX-Call-Id: 8\r\nX-Budget: 2000m\r\nContent-Length: 0\r\n\r\n")
                 .await;
-            let mut endpoint = next(&sidecar.backend).await;
-            endpoint.hear().await;
-            endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-            assert!(client.hear().await.starts_with("HTTP/1.1 200"));
-            rest().await;
-            client.say(request).await;
-            assert!(!endpoint.hear().await.is_empty(), "on the pooled connection");
+            let mut endpoint = accept(&sidecar.endpoint).await;
+            endpoint.receive().await;
+            endpoint.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+            assert!(client.receive().await.starts_with("HTTP/1.1 200"));
+            wait_until_reusable().await;
+            client.send(request).await;
+            assert!(!endpoint.receive().await.is_empty(), "on the pooled connection");
             drop(endpoint);
-            if request == PLAN {
-                let mut endpoint = next(&sidecar.backend).await;
-                endpoint.hear().await;
-                endpoint.say("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+            if request == PLAN_REQUEST {
+                let mut endpoint = accept(&sidecar.endpoint).await;
+                endpoint.receive().await;
+                endpoint.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
             }
-            let response = client.hear().await;
+            let response = client.receive().await;
             assert!(response.starts_with(&format!("HTTP/1.1 {status}")), "{response}");
         }
         assert_eq!((sidecar.counters.backend_reused.get(), sidecar.counters.dispatch_reset.get()), (2, 2));
@@ -633,12 +634,12 @@
         "HTTP/1.1 100 Continue\r\n\r\n",
         "garbage",
     ] {
-        confirmed_story(|sidecar| async move {
-            let mut client = Peer::to(&sidecar).await;
-            client.say(BOOK).await;
-            let mut endpoint = next(&sidecar.backend).await;
-            endpoint.hear().await;
-            endpoint.say(invalid).await;
+        with_confirmed_sidecar(|sidecar| async move {
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send(BOOK_REQUEST).await;
+            let mut endpoint = accept(&sidecar.endpoint).await;
+            endpoint.receive().await;
+            endpoint.send(invalid).await;
             if invalid.contains("100 Continue") {
                 // Interim responses may arrive forever.
                 for _ in 0..20 {
@@ -648,9 +649,9 @@
                     }
                 }
             }
-            rest().await;
+            wait_until_reusable().await;
             endpoint.reset();
-            let response = client.hear().await;
+            let response = client.receive().await;
             assert!(
                 response.starts_with("HTTP/1.1 502") && !response.contains("part"),
                 "{invalid}: {response}"
@@ -667,15 +668,15 @@
 /// The attempt breaks as its time runs out: one final response, and no further attempt.
 #[test]
 fn an_attempt_that_breaks_as_the_deadline_passes_is_not_retried() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say(&PLAN.replace("30000m", "400m")).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(&PLAN_REQUEST.replace("30000m", "400m")).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
         Tokio.sleep(200 * MS).await;
         endpoint.reset();
         block_thread(300 * MS);
-        assert!(client.hear().await.starts_with("HTTP/1.1 50"));
+        assert!(client.receive().await.starts_with("HTTP/1.1 50"));
         let counters = &sidecar.counters;
         assert_eq!((counters.dispatches.get(), counters.backend_connections.get()), (1, 1));
     });
@@ -684,17 +685,17 @@
 /// An endpoint whose connections never come up: each attempt times out, and nothing has run.
 #[test]
 fn connections_that_never_come_up_end_in_a_rejection() {
-    confirmed_story(|sidecar| async move {
-        sidecar.gates.shut(sidecar.server());
-        let mut client = Peer::to(&sidecar).await;
-        client.say(BOOK).await;
-        let response = client.hear().await;
+    with_confirmed_sidecar(|sidecar| async move {
+        sidecar.gates.block(sidecar.endpoint_address());
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(BOOK_REQUEST).await;
+        let response = client.receive().await;
         assert!(response.starts_with("HTTP/1.1 503") && response.contains("Retry-After: "), "{response}");
         let counters = &sidecar.counters;
         assert_eq!((counters.dispatch_unconnected.get(), counters.dispatches.get()), (3, 3));
         // Connections that come up now have no request any more.
-        sidecar.gates.open(sidecar.server());
-        rest().await;
+        sidecar.gates.unblock(sidecar.endpoint_address());
+        wait_until_reusable().await;
         assert_eq!(counters.backend_connections.get(), 0);
     });
 }
@@ -708,10 +709,10 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (at, to, second) =
             (listener.local_addr().expect("an address"), cometcroft::EndpointId(0), Duration::from_secs(1));
-        let (platform, counters) = (Gated::default(), std::rc::Rc::new(Counters::default()));
+        let (platform, counters) = (GatedPlatform::default(), std::rc::Rc::new(Counters::default()));
         let pool = ConnectionPool::new(platform.clone(), 2, [5 * second, second], counters.clone(), None);
         let get = || pool.get(to, at, Tokio.now() + 9 * second);
-        platform.0.shut(at);
+        platform.0.block(at);
         {
             let (mut one, mut two) = (Box::pin(get()), Box::pin(get()));
             for slow in [&mut one, &mut two] {
@@ -722,7 +723,7 @@
             // One was cancelled, one timed out: both slots are free.
             assert!(two.await.is_err());
         }
-        platform.0.open(at);
+        platform.0.unblock(at);
         let (one, two) = (get().await.expect("room"), get().await.expect("room"));
         assert!(get().await.is_err());
         pool.put(to, one);
@@ -745,37 +746,37 @@
         let listener = || TcpListener::bind("127.0.0.1:0");
         let (endpoint, discovery) = (listener().await.expect("a port"), listener().await.expect("a port"));
         let address = endpoint.local_addr().expect("bound");
-        let directory = Directory::new(vec!["a".into()], Duration::ZERO, Tokio.unix());
+        let endpoints = EndpointTable::new(vec!["a".into()], Duration::ZERO, Tokio.unix());
         let list = |status: &str| {
             let text = format!(
                 r#"{{"index":1,"snapshot":true,"endpoints":[{{"name":"s","address":"{address}","zone":"a","status":"{status}"}}]}}"#
             );
             EndpointList::from_value(&serde_json::from_str(&text).expect("JSON")).expect("a list")
         };
-        let entries = directory.take(list("up"), None).news().expect("it is taken").entries;
+        let entries = endpoints.apply(list("up"), None).update().expect("it is taken").entries;
         let notices = Tokio.connect(discovery.local_addr().expect("bound")).await.expect("it listens");
         let notices = Rc::new(RefCell::new(notices));
-        directory.notices().expect_on(&notices);
-        let mut peer = next(&discovery).await;
-        peer.say("x").await;
+        endpoints.discovery_connections().add(&notices);
+        let mut peer = accept(&discovery).await;
+        peer.send("x").await;
         let counters = Rc::new(Counters::default());
         let second = Duration::from_secs(1);
         let pool = ConnectionPool::new(Tokio, 2, [5 * second, second], counters.clone(), None);
-        let directory = Rc::new(directory);
-        let exchanger = Exchanger { pool, directory: directory.clone(), counters };
+        let endpoints = Rc::new(endpoints);
+        let exchanger = Exchanger { pool, endpoints: endpoints.clone(), counters };
         let (to, ends) = (entries[0].endpoint, Deadlines { end: Tokio.now() + 2 * second, write_by: None });
         let attempt = tokio::task::spawn_local(async move {
-            exchanger.run(to, || PLAN.as_bytes().into(), None, ends, || {}).await.map(|reply| reply.response.status)
+            exchanger.run(to, || PLAN_REQUEST.as_bytes().into(), None, ends, || {}).await.map(|reply| reply.response.status)
         });
-        let mut endpoint = next(&endpoint).await;
+        let mut endpoint = accept(&endpoint).await;
         Tokio.sleep(300 * MS).await;
         assert!(!attempt.is_finished());
         // The list is read, and the endpoint is draining.
         drop(notices);
-        directory.bar(&list("draining").records, Some(2));
+        endpoints.exclude(&list("draining").records, Some(2));
         let ended = Tokio.timeout(second, attempt).await.expect("it is not sent and ends at once");
         assert!(ended.expect("no panic").is_err(), "it is not sent");
-        assert_eq!(endpoint.hear().await, "", "nothing is sent");
+        assert_eq!(endpoint.receive().await, "", "nothing is sent");
     });
 }
 
@@ -783,18 +784,18 @@
 /// discovery that sends nothing has no changes.
 #[test]
 fn an_expired_list_is_valid_again_once_lists_are_pushed() {
-    story(|sidecar| async move {
-        let mut silent = next(&sidecar.discovery).await;
-        silent.hear().await;
+    with_sidecar(|sidecar| async move {
+        let mut silent = accept(&sidecar.discovery).await;
+        silent.receive().await;
         Tokio.sleep(2700 * MS).await;
-        assert!(!reaches(&sidecar).await, "the list is not confirmed");
+        assert!(!is_served(&sidecar).await, "the list is not confirmed");
         let mut settings = sidecar.settings.clone();
         settings.discovery = cometcroft::Discovery::Push;
-        sidecar.control.source.move_to(sidecar.discovery.local_addr().expect("bound"), &settings);
-        let mut discovery = next(&sidecar.discovery).await;
-        discovery.hear().await;
-        discovery.say(&list_response(2, true, &row(&sidecar, "up"))).await;
-        assert!(discovery.hear().await.contains("?from=2&"));
-        assert!(reaches(&sidecar).await);
+        sidecar.reloader.discovery_source.move_to(sidecar.discovery.local_addr().expect("bound"), &settings);
+        let mut discovery = accept(&sidecar.discovery).await;
+        discovery.receive().await;
+        discovery.send(&list_response(2, true, &endpoint_entry(&sidecar, "up"))).await;
+        assert!(discovery.receive().await.contains("?from=2&"));
+        assert!(is_served(&sidecar).await);
     });
 }
--- a/crates/sidecar/tests/http.rs
+++ b/crates/sidecar/tests/http.rs
@@ -57,7 +57,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(200))]
+    #![proptest_config(common::proptest_config(200))]
 
     /// Random requests, pipelined, possibly with an invalid one at the end, in random pieces; each gets its
     /// response after a random delay.
--- a/crates/sidecar/tests/loopback.rs
+++ b/crates/sidecar/tests/loopback.rs
@@ -5,51 +5,54 @@
 
 use cometcroft_platform::{Platform, Tokio};
 use cometcroft_sidecar::config::Config;
-use common::story::{BOOK, PLAN, Peer, Sidecar, confirm_all, confirmed_story, next, rest, story};
+use common::in_process::{
+    BOOK_REQUEST, PLAN_REQUEST, Sidecar, TestConnection, accept, confirm_all_calls, wait_until_reusable,
+    with_confirmed_sidecar, with_sidecar,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
 #[test]
 fn a_request_is_served_and_its_connections_are_reused() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 200"));
-        client.say(PLAN).await;
-        let mut endpoint = next(&sidecar.backend).await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 200"));
+        client.send(PLAN_REQUEST).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
         for body in ["one", "two"] {
-            let request = endpoint.hear().await;
+            let request = endpoint.receive().await;
             assert!(request.starts_with("GET /plan/1 HTTP/1.1\r\n") && request.contains("X-Call-Id: 1\r\n"));
-            endpoint.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{body}")).await;
-            let response = client.hear().await;
+            endpoint.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{body}")).await;
+            let response = client.receive().await;
             assert!(response.starts_with("HTTP/1.1 200") && response.ends_with(body), "{response}");
-            rest().await;
-            client.say(PLAN).await;
+            wait_until_reusable().await;
+            client.send(PLAN_REQUEST).await;
         }
         assert_eq!((sidecar.counters.backend_connections.get(), sidecar.counters.served.get()), (1, 2));
-        client.say("").await;
+        client.send("").await;
     });
 }
 
 #[test]
 fn a_closed_connection_is_not_reused() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
         // Unexpected bytes after a response make a connection as unusable as its end does.
         for after in ["", "HTTP/1.1 408 Late\r\n\r\n"] {
-            client.say(BOOK).await;
-            let mut endpoint = next(&sidecar.backend).await;
-            assert!(endpoint.hear().await.ends_with("\r\n\r\nhi"));
-            endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-            assert!(client.hear().await.starts_with("HTTP/1.1 200"));
-            endpoint.say(after).await;
+            client.send(BOOK_REQUEST).await;
+            let mut endpoint = accept(&sidecar.endpoint).await;
+            assert!(endpoint.receive().await.ends_with("\r\n\r\nhi"));
+            endpoint.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+            assert!(client.receive().await.starts_with("HTTP/1.1 200"));
+            endpoint.send(after).await;
             if after.is_empty() {
                 drop(endpoint);
             }
-            rest().await;
+            wait_until_reusable().await;
         }
-        client.say(BOOK).await;
-        assert!(next(&sidecar.backend).await.hear().await.contains("/book"));
+        client.send(BOOK_REQUEST).await;
+        assert!(accept(&sidecar.endpoint).await.receive().await.contains("/book"));
         assert_eq!((sidecar.counters.dispatch_reset.get(), sidecar.counters.backend_reused.get()), (0, 0));
         assert_eq!(sidecar.counters.backend_stale.get(), 2);
     });
@@ -57,14 +60,14 @@
 
 #[test]
 fn a_truncated_response_is_a_reset_and_an_unsafe_request_fails_at_once() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say(BOOK).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
-        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf").await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(BOOK_REQUEST).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
+        endpoint.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf").await;
         drop(endpoint);
-        let response = client.hear().await;
+        let response = client.receive().await;
         assert!(response.starts_with("HTTP/1.1 502") && !response.contains("half"), "{response}");
         assert_eq!((sidecar.counters.dispatch_reset.get(), sidecar.counters.dispatches.get()), (1, 1));
     });
@@ -72,20 +75,20 @@
 
 #[test]
 fn an_invalid_response_is_an_error_that_closes_its_connection_and_a_safe_request_is_retried() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
         // The first states a longer body than it has, and its connection stays open.
         for invalid in ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "\u{2}noise without an end"] {
-            let mut endpoint = next(&sidecar.backend).await;
-            endpoint.hear().await;
-            endpoint.say(invalid).await;
-            assert_eq!(endpoint.hear().await, "", "the connection is closed");
+            let mut endpoint = accept(&sidecar.endpoint).await;
+            endpoint.receive().await;
+            endpoint.send(invalid).await;
+            assert_eq!(endpoint.receive().await, "", "the connection is closed");
         }
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
-        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole").await;
-        let response = client.hear().await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
+        endpoint.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole").await;
+        let response = client.receive().await;
         assert!(response.starts_with("HTTP/1.1 200") && response.ends_with("whole"), "{response}");
         let counters = &sidecar.counters;
         assert_eq!((counters.dispatch_error.get(), counters.answers_spoilt.get()), (2, 2));
@@ -94,38 +97,38 @@
 
 #[test]
 fn a_request_rejected_by_every_endpoint_is_rejected_with_retry_after() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say(BOOK).await;
-        let mut endpoint = next(&sidecar.backend).await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(BOOK_REQUEST).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
         for more_attempts in [true, true, false] {
-            endpoint.hear().await;
-            endpoint.say("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n").await;
+            endpoint.receive().await;
+            endpoint.send("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n").await;
             if more_attempts {
-                endpoint = next(&sidecar.backend).await;
+                endpoint = accept(&sidecar.endpoint).await;
             }
         }
-        let response = client.hear().await;
+        let response = client.receive().await;
         assert!(response.starts_with("HTTP/1.1 503") && response.contains("\r\nRetry-After: "), "{response}");
     });
 }
 
 #[test]
 fn a_client_that_disconnects_cancels_its_attempt() {
-    confirmed_story(|sidecar| async move {
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
         drop(client);
-        assert_eq!(endpoint.hear().await, "", "its connection is closed");
+        assert_eq!(endpoint.receive().await, "", "its connection is closed");
         assert_eq!((sidecar.counters.withdrawn.get(), sidecar.counters.dispatch_cancelled.get()), (1, 1));
     });
 }
 
 #[test]
 fn an_invalid_request_is_never_sent() {
-    story(|sidecar| async move {
+    with_sidecar(|sidecar| async move {
         let head = "X-Call-Id: 1\r\nX-Budget: 100m\r\n";
         for (line, head, status) in [
             ("GET /plan HTTP/1.1", "X-Budget: 100m\r\n", 400),
@@ -143,12 +146,12 @@
             ("GET /plan HTTP/1.1", "X-Call-Id: a b\r\nX-Budget: 9m\r\n", 400),
             ("plan", head, 400),
         ] {
-            let mut client = Peer::to(&sidecar).await;
-            client.say(&format!("{line}\r\n{head}\r\n")).await;
-            let response = client.hear().await;
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send(&format!("{line}\r\n{head}\r\n")).await;
+            let response = client.receive().await;
             assert!(response.starts_with(&format!("HTTP/1.1 {status} ")), "{line}: {response}");
             assert!(response.contains("Connection: close\r\n"));
-            assert_eq!(client.hear().await, "", "the connection is closed");
+            assert_eq!(client.receive().await, "", "the connection is closed");
         }
         assert_eq!((sidecar.counters.bad_requests.get(), sidecar.counters.sessions.get()), (14, 0));
     });
@@ -156,69 +159,73 @@
 
 #[test]
 fn the_id_of_an_open_request_is_rejected_until_its_response() {
-    confirmed_story(|sidecar| async move {
-        let (mut client, mut other) = (Peer::to(&sidecar).await, Peer::to(&sidecar).await);
-        client.say(PLAN).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
-        other.say(PLAN).await;
-        assert!(other.hear().await.starts_with("HTTP/1.1 400 "));
-        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 200 "));
-        client.say(PLAN).await;
-        assert!(next(&sidecar.backend).await.hear().await.contains("/plan"));
+    with_confirmed_sidecar(|sidecar| async move {
+        let (mut client, mut other) =
+            (TestConnection::to(&sidecar).await, TestConnection::to(&sidecar).await);
+        client.send(PLAN_REQUEST).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
+        other.send(PLAN_REQUEST).await;
+        assert!(other.receive().await.starts_with("HTTP/1.1 400 "));
+        endpoint.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 200 "));
+        client.send(PLAN_REQUEST).await;
+        assert!(accept(&sidecar.endpoint).await.receive().await.contains("/plan"));
         assert_eq!((sidecar.counters.repeated_ids.get(), sidecar.counters.sessions.get()), (1, 2));
     });
 }
 
 #[test]
 fn silent_and_incomplete_clients_are_disconnected_before_served_ones() {
-    confirmed_story(|sidecar| async move {
-        let (mut served, mut half) = (Peer::to(&sidecar).await, Peer::to(&sidecar).await);
-        served.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(served.hear().await.starts_with("HTTP/1.1 200"));
-        half.say("GET /plan HTTP/1.1\r\nX-Call").await;
-        let mut silent = Peer::to(&sidecar).await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let (mut served, mut half) = (TestConnection::to(&sidecar).await, TestConnection::to(&sidecar).await);
+        served.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(served.receive().await.starts_with("HTTP/1.1 200"));
+        half.send("GET /plan HTTP/1.1\r\nX-Call").await;
+        let mut silent = TestConnection::to(&sidecar).await;
         let mut crowd = Vec::new();
         for _ in 0..110 {
-            crowd.push(Peer::to(&sidecar).await);
+            crowd.push(TestConnection::to(&sidecar).await);
         }
         // All of these count as slow by the time that more connect than there is room for.
         Tokio.sleep(std::time::Duration::from_millis(400)).await;
         for _ in 0..60 {
-            crowd.push(Peer::to(&sidecar).await);
+            crowd.push(TestConnection::to(&sidecar).await);
         }
-        assert_eq!(half.hear().await, "", "disconnected first");
-        assert_eq!(silent.hear().await, "", "disconnected next");
-        served.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(served.hear().await.starts_with("HTTP/1.1 200"));
-        let (mut half, mut silent) = (Peer::to(&sidecar).await, crowd.pop().expect("one of them"));
-        half.say("POST /book HTTP/1.1\r\nX-Call").await;
-        assert_eq!(silent.hear().await, "", "disconnected without a response");
-        assert!(half.hear().await.starts_with("HTTP/1.1 408 "));
+        assert_eq!(half.receive().await, "", "disconnected first");
+        assert_eq!(silent.receive().await, "", "disconnected next");
+        served.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(served.receive().await.starts_with("HTTP/1.1 200"));
+        let (mut half, mut silent) = (TestConnection::to(&sidecar).await, crowd.pop().expect("one of them"));
+        half.send("POST /book HTTP/1.1\r\nX-Call").await;
+        assert_eq!(silent.receive().await, "", "disconnected without a response");
+        assert!(half.receive().await.starts_with("HTTP/1.1 408 "));
         assert!(sidecar.counters.frontend_mute.get() >= 2);
-        served.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(served.hear().await.starts_with("HTTP/1.1 200"), "a client that has been served may be idle");
+        served.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(
+            served.receive().await.starts_with("HTTP/1.1 200"),
+            "a client that has been served may be idle"
+        );
     });
 }
 
 #[test]
 fn an_invalid_list_is_counted_and_the_last_one_kept() {
-    story(|sidecar| async move {
-        let mut discovery = next(&sidecar.discovery).await;
-        assert!(discovery.hear().await.starts_with("GET /discovery/hosts?from=1&hold_ms="));
-        discovery.say("HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"index\":true").await;
+    with_sidecar(|sidecar| async move {
+        let mut discovery = accept(&sidecar.discovery).await;
+        assert!(discovery.receive().await.starts_with("GET /discovery/hosts?from=1&hold_ms="));
+        discovery.send("HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"index\":true").await;
         // The list is requested again; after a valid list, the next call follows at once.
-        let mut discovery = next(&sidecar.discovery).await;
-        assert!(discovery.hear().await.contains("?from=1&"));
+        let mut discovery = accept(&sidecar.discovery).await;
+        assert!(discovery.receive().await.contains("?from=1&"));
         assert_eq!(sidecar.counters.discovery_bad.get(), 1);
         let list = r#"{"index":7,"snapshot":false,"endpoints":[]}"#;
         let length = list.len();
-        discovery.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{list}")).await;
-        assert!(discovery.hear().await.contains("?from=7&"));
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
-        assert!(next(&sidecar.backend).await.hear().await.contains("/plan"));
+        discovery.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{list}")).await;
+        assert!(discovery.receive().await.contains("?from=7&"));
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
+        assert!(accept(&sidecar.endpoint).await.receive().await.contains("/plan"));
     });
 }
 
@@ -226,50 +233,50 @@
 /// module's delay.
 #[test]
 fn the_received_part_of_a_broken_list_counts_and_the_rest_is_requested_soon() {
-    story(|sidecar| async move {
+    with_sidecar(|sidecar| async move {
         let failures = || sidecar.counters.discovery_failures.get();
         for broken in 0..4 {
-            let mut discovery = next(&sidecar.discovery).await;
-            assert!(discovery.hear().await.starts_with("GET /discovery/hosts?from=1&hold_ms="));
+            let mut discovery = accept(&sidecar.discovery).await;
+            assert!(discovery.receive().await.starts_with("GET /discovery/hosts?from=1&hold_ms="));
             assert_eq!((sidecar.counters.discovery_stalled.get(), failures()), (broken.min(1), 0));
             // A list that paused is counted as invalid as well once its call is cancelled.
             assert!((broken.saturating_sub(1)..=broken).contains(&sidecar.counters.discovery_bad.get()));
-            discovery.say("HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{\"endpoints\":[").await;
+            discovery.send("HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{\"endpoints\":[").await;
             if broken == 0 {
                 let row = r#"{"address":"127.0.0.1:9","name":"s","status":"draining","typ"#;
-                discovery.say(row).await;
+                discovery.send(row).await;
                 // The connection stays open without further bytes.
                 std::mem::forget(discovery);
             }
         }
-        let mut discovery = next(&sidecar.discovery).await;
-        assert!(discovery.hear().await.starts_with("GET /discovery/hosts?from=1&hold_ms="));
+        let mut discovery = accept(&sidecar.discovery).await;
+        assert!(discovery.receive().await.starts_with("GET /discovery/hosts?from=1&hold_ms="));
         assert_eq!((sidecar.counters.discovery_stalled.get(), failures()), (1, 0));
         assert!((3..=4).contains(&sidecar.counters.discovery_bad.get()));
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 503"), "the only endpoint is draining");
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 503"), "the only endpoint is draining");
         assert_eq!(sidecar.counters.dispatches.get(), 0);
     });
 }
 
 #[test]
 fn a_failed_watch_is_not_repeated_at_once_and_a_closed_connection_is_no_failure() {
-    story(|sidecar| async move {
+    with_sidecar(|sidecar| async move {
         let list = r#"{"index":2,"snapshot":false,"endpoints":[]}"#;
         let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
-        let mut discovery = next(&sidecar.discovery).await;
-        discovery.hear().await;
-        discovery.say(&response).await;
-        assert!(discovery.hear().await.contains("?from=2&"));
+        let mut discovery = accept(&sidecar.discovery).await;
+        discovery.receive().await;
+        discovery.send(&response).await;
+        assert!(discovery.receive().await.contains("?from=2&"));
         // The next response announces the end of the connection: the call after it uses another one.
-        discovery.say(&response.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")).await;
-        let mut discovery = next(&sidecar.discovery).await;
-        discovery.hear().await;
+        discovery.send(&response.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")).await;
+        let mut discovery = accept(&sidecar.discovery).await;
+        discovery.receive().await;
         assert_eq!(sidecar.counters.discovery_failures.get(), 0);
-        discovery.say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
-        let mut discovery = next(&sidecar.discovery).await;
-        assert!(discovery.hear().await.contains("?from=2&"));
+        discovery.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
+        let mut discovery = accept(&sidecar.discovery).await;
+        assert!(discovery.receive().await.contains("?from=2&"));
         assert_eq!(
             (sidecar.counters.discovery_failures.get(), sidecar.counters.discovery_calls.get()),
             (1, 4)
@@ -279,41 +286,41 @@
 
 #[test]
 fn discovery_that_moves_is_asked_for_the_complete_list_at_once() {
-    story(|sidecar| async move {
-        let mut old = next(&sidecar.discovery).await;
-        assert!(old.hear().await.contains("?from=1&"));
+    with_sidecar(|sidecar| async move {
+        let mut old = accept(&sidecar.discovery).await;
+        assert!(old.receive().await.contains("?from=1&"));
         let moved = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        sidecar.control.source.move_to(moved.local_addr().expect("an address"), &sidecar.settings);
-        let mut new = next(&moved).await;
-        assert!(new.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"));
-        assert_eq!(old.hear().await, "", "the old call is cancelled");
+        sidecar.reloader.discovery_source.move_to(moved.local_addr().expect("an address"), &sidecar.settings);
+        let mut new = accept(&moved).await;
+        assert!(new.receive().await.starts_with("GET /discovery/hosts HTTP/1.1"));
+        assert_eq!(old.receive().await, "", "the old call is cancelled");
         let list = r#"{"index":1,"snapshot":false,"endpoints":[]}"#;
-        new.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())).await;
-        assert!(new.hear().await.contains("?from=1&"));
+        new.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())).await;
+        assert!(new.receive().await.contains("?from=1&"));
         assert_eq!(sidecar.counters.discovery_failures.get(), 0);
         // The module waits after a failure; a move during that time takes effect all the same.
         drop((new, moved));
         let again = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        sidecar.control.source.move_to(again.local_addr().expect("an address"), &sidecar.settings);
-        assert!(next(&again).await.hear().await.starts_with("GET /discovery/hosts HTTP/1.1"));
+        sidecar.reloader.discovery_source.move_to(again.local_addr().expect("an address"), &sidecar.settings);
+        assert!(accept(&again).await.receive().await.starts_with("GET /discovery/hosts HTTP/1.1"));
     });
 }
 
 #[test]
 fn a_silent_watch_is_soon_repeated_on_another_connection() {
-    story(|sidecar| async move {
-        let mut silent = next(&sidecar.discovery).await;
-        let call = silent.hear().await;
+    with_sidecar(|sidecar| async move {
+        let mut silent = accept(&sidecar.discovery).await;
+        let call = silent.receive().await;
         let hold =
             call.split("hold_ms=").nth(1).and_then(|rest| rest.split(' ').next()).expect("a long poll");
         assert!(
             hold.parse::<u64>().expect("a time") <= 4000,
             "a change counts as known 2 s after the long poll"
         );
-        let mut again = next(&sidecar.discovery).await;
+        let mut again = accept(&sidecar.discovery).await;
         // The sidecar asks for changes without waiting, so the response would come at once.
-        assert_eq!(again.hear().await, call.replace(&format!("hold_ms={hold} "), "hold_ms=0 "));
-        assert_eq!(silent.hear().await, "", "the silent call is closed");
+        assert_eq!(again.receive().await, call.replace(&format!("hold_ms={hold} "), "hold_ms=0 "));
+        assert_eq!(silent.receive().await, "", "the silent call is closed");
         let counters = &sidecar.counters;
         assert_eq!((counters.discovery_silent.get(), counters.discovery_failures.get()), (1, 0));
     });
@@ -334,10 +341,10 @@
     let any = || std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = |listener: &std::net::TcpListener| listener.local_addr().expect("an address").to_string();
     let (old, new) = (any(), any());
-    let listen = common::program::places(1)[0][0].to_string();
+    let listen = common::program::sidecar_addresses(1)[0][0].to_string();
     let path = std::env::temp_dir().join(format!("cometcroft-{}.json", std::process::id()));
     let file = |discovery: &str| {
-        std::fs::write(&path, common::config(&listen, discovery, "null")).expect("a file");
+        std::fs::write(&path, common::config_json(&listen, discovery, "null")).expect("a file");
     };
     file(&at(&old));
     let mut program = std::process::Command::new(env!("CARGO_BIN_EXE_cometcroft"))
@@ -365,18 +372,18 @@
 
 #[test]
 fn beyond_the_descriptor_limit_the_longest_idle_client_is_disconnected() {
-    confirmed_story(|sidecar| async move {
+    with_confirmed_sidecar(|sidecar| async move {
         let mut clients = Vec::new();
         for _ in 0..150 {
-            let mut client = Peer::to(&sidecar).await;
-            client.say("GET /up HTTP/1.1\r\n\r\n").await;
-            assert!(client.hear().await.starts_with("HTTP/1.1 200"));
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send("GET /up HTTP/1.1\r\n\r\n").await;
+            assert!(client.receive().await.starts_with("HTTP/1.1 200"));
             clients.push(client);
         }
         assert!(sidecar.counters.frontend_evicted.get() >= 30, "256 descriptors leave 114 for clients");
-        assert_eq!(clients[0].hear().await, "", "the first one was disconnected");
-        clients[149].say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(clients[149].hear().await.starts_with("HTTP/1.1 200"));
+        assert_eq!(clients[0].receive().await, "", "the first one was disconnected");
+        clients[149].send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(clients[149].receive().await.starts_with("HTTP/1.1 200"));
     });
 }
 
@@ -393,44 +400,44 @@
 
 #[test]
 fn shutdown_serves_every_request_and_accepts_new_clients_for_a_while() {
-    confirmed_story(|sidecar| async move {
-        let (mut busy, mut idle) = (Peer::to(&sidecar).await, Peer::to(&sidecar).await);
-        idle.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(idle.hear().await.starts_with("HTTP/1.1 200"));
-        busy.say(BOOK).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
-        sidecar.life.begin();
-        idle.say("GET /up HTTP/1.1\r\n\r\n").await;
-        let response = idle.hear().await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let (mut busy, mut idle) = (TestConnection::to(&sidecar).await, TestConnection::to(&sidecar).await);
+        idle.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(idle.receive().await.starts_with("HTTP/1.1 200"));
+        busy.send(BOOK_REQUEST).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
+        sidecar.lifecycle.begin_shutdown();
+        idle.send("GET /up HTTP/1.1\r\n\r\n").await;
+        let response = idle.receive().await;
         assert!(
             response.starts_with("HTTP/1.1 503") && !response.contains("close"),
             "not ready, but it still serves"
         );
-        let mut late = Peer::to(&sidecar).await;
-        late.say(&PLAN.replace(": 1", ": 3")).await;
-        let mut second = next(&sidecar.backend).await;
-        second.hear().await;
-        assert_eq!(idle.hear().await, "", "an idle connection is closed eventually");
+        let mut late = TestConnection::to(&sidecar).await;
+        late.send(&PLAN_REQUEST.replace(": 1", ": 3")).await;
+        let mut second = accept(&sidecar.endpoint).await;
+        second.receive().await;
+        assert_eq!(idle.receive().await, "", "an idle connection is closed eventually");
         for (endpoint, client) in [(&mut second, &mut late), (&mut endpoint, &mut busy)] {
-            assert!(!sidecar.ended.is_finished());
-            endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-            let response = client.hear().await;
+            assert!(!sidecar.task.is_finished());
+            endpoint.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+            let response = client.receive().await;
             assert!(
                 response.starts_with("HTTP/1.1 200") && response.contains("Connection: close"),
                 "{response}"
             );
         }
-        sidecar.ended.await.expect("no panic").expect("a clean end");
+        sidecar.task.await.expect("no panic").expect("a clean end");
     });
 }
 
 /// Makes a call to the operations endpoint and returns the complete response.
 async fn call_operations(sidecar: &Sidecar, line: &str) -> String {
-    let mut peer = Peer(TcpStream::connect(&sidecar.ops).await.expect("it listens"));
-    peer.say(&format!("{line} HTTP/1.1\r\nHost: ops\r\n\r\n")).await;
-    let response = peer.hear().await;
-    assert_eq!(peer.hear().await, "", "one call per connection");
+    let mut peer = TestConnection(TcpStream::connect(&sidecar.ops).await.expect("it listens"));
+    peer.send(&format!("{line} HTTP/1.1\r\nHost: ops\r\n\r\n")).await;
+    let response = peer.receive().await;
+    assert_eq!(peer.receive().await, "", "one call per connection");
     response
 }
 
@@ -441,11 +448,11 @@
 
 #[test]
 fn the_operations_endpoint_responds_when_crowded_and_its_figures_are_correct() {
-    confirmed_story(|sidecar| async move {
+    with_confirmed_sidecar(|sidecar| async move {
         let mut crowd = Vec::new();
         for n in 0..40 {
-            let mut peer = Peer(TcpStream::connect(&sidecar.ops).await.expect("it listens"));
-            peer.say(["", "GET /ops/sta"][n % 2]).await;
+            let mut peer = TestConnection(TcpStream::connect(&sidecar.ops).await.expect("it listens"));
+            peer.send(["", "GET /ops/sta"][n % 2]).await;
             crowd.push(peer);
         }
         for (line, status) in [
@@ -461,130 +468,130 @@
             assert_eq!(response.contains("Allow: "), status == 405);
         }
         let tally = |s: u64, r: u64, f: u64, a: u64| serde_json::json!({"fulfilled": s, "throttled": r, "faulted": f, "relayed": a});
-        let mut client = Peer::to(&sidecar).await;
+        let mut client = TestConnection::to(&sidecar).await;
         // Served by the second attempt, while open; then rejected, failed, and abandoned by its client.
-        client.say(PLAN).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
+        client.send(PLAN_REQUEST).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
         let figures = stats(&sidecar).await;
         assert_eq!((&figures["open_requests"], &figures["registry_entries"]), (&1.into(), &1.into()));
         assert_eq!(figures["operations"]["plan"], tally(0, 0, 0, 1));
-        endpoint.say("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
-        rest().await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
-        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").await;
-        client.hear().await;
+        endpoint.send("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+        wait_until_reusable().await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
+        endpoint.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").await;
+        client.receive().await;
         let figures = stats(&sidecar).await;
         assert_eq!(
             (&figures["operations"]["plan"], &figures["open_requests"]),
             (&tally(1, 0, 0, 2), &0.into())
         );
-        client.say(BOOK).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
+        client.send(BOOK_REQUEST).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
         drop(endpoint);
-        assert!(client.hear().await.starts_with("HTTP/1.1 502"));
-        client.say(&BOOK.replace("30000m", "2m")).await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 503"));
-        client.say(PLAN).await;
-        next(&sidecar.backend).await.hear().await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 502"));
+        client.send(&BOOK_REQUEST.replace("30000m", "2m")).await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 503"));
+        client.send(PLAN_REQUEST).await;
+        accept(&sidecar.endpoint).await.receive().await;
         drop(client);
-        rest().await;
+        wait_until_reusable().await;
         let figures = stats(&sidecar).await;
         assert_eq!(figures["operations"]["book"], tally(0, 1, 1, 1));
         assert_eq!(figures["operations"]["plan"], tally(1, 0, 0, 3));
         assert_eq!(figures["operations"]["pay"], tally(0, 0, 0, 0));
         assert_eq!((&figures["open_requests"], &figures["relayed"]), (&0.into(), &4.into()));
         let mut first = crowd.swap_remove(0);
-        assert_eq!(first.hear().await, "", "the longest silent client was disconnected");
+        assert_eq!(first.receive().await, "", "the longest silent client was disconnected");
     });
 }
 
 #[test]
 fn a_drain_disconnects_clients_and_can_be_stopped() {
-    confirmed_story(|sidecar| async move {
-        let (mut idle, mut busy) = (Peer::to(&sidecar).await, Peer::to(&sidecar).await);
-        idle.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(idle.hear().await.starts_with("HTTP/1.1 200"));
-        busy.say(BOOK).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
+    with_confirmed_sidecar(|sidecar| async move {
+        let (mut idle, mut busy) = (TestConnection::to(&sidecar).await, TestConnection::to(&sidecar).await);
+        idle.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(idle.receive().await.starts_with("HTTP/1.1 200"));
+        busy.send(BOOK_REQUEST).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
         for _ in 0..2 {
             assert!(call_operations(&sidecar, "PUT /ops/drain/start").await.starts_with("HTTP/1.1 200"));
         }
         let started = Tokio.now();
         assert!(call_operations(&sidecar, "GET /ops/readiness").await.starts_with("HTTP/1.1 503"));
-        let mut late = Peer::to(&sidecar).await;
-        late.say("GET /up HTTP/1.1\r\n\r\n").await;
+        let mut late = TestConnection::to(&sidecar).await;
+        late.send("GET /up HTTP/1.1\r\n\r\n").await;
         assert!(
-            late.hear().await.starts_with("HTTP/1.1 503"),
+            late.receive().await.starts_with("HTTP/1.1 503"),
             "it still accepts connections, and is not ready"
         );
-        assert_eq!((idle.hear().await, late.hear().await), (String::new(), String::new()));
+        assert_eq!((idle.receive().await, late.receive().await), (String::new(), String::new()));
         let closed = Tokio.since(started);
         assert!(closed > std::time::Duration::from_millis(300) && closed < std::time::Duration::from_secs(2));
-        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-        let response = busy.hear().await;
+        endpoint.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+        let response = busy.receive().await;
         assert!(response.starts_with("HTTP/1.1 200") && response.contains("Connection: close"), "{response}");
         for _ in 0..2 {
             assert!(call_operations(&sidecar, "PUT /ops/drain/stop").await.starts_with("HTTP/1.1 200"));
         }
-        let mut back = Peer::to(&sidecar).await;
-        back.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(back.hear().await.starts_with("HTTP/1.1 200"));
+        let mut back = TestConnection::to(&sidecar).await;
+        back.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(back.receive().await.starts_with("HTTP/1.1 200"));
         Tokio.sleep(std::time::Duration::from_millis(1700)).await;
-        back.say("GET /up HTTP/1.1\r\n\r\n").await;
-        assert!(back.hear().await.starts_with("HTTP/1.1 200"), "it stays open, as before the drain");
+        back.send("GET /up HTTP/1.1\r\n\r\n").await;
+        assert!(back.receive().await.starts_with("HTTP/1.1 200"), "it stays open, as before the drain");
     });
 }
 
 #[test]
 fn an_open_request_keeps_its_class_when_settings_change() {
-    confirmed_story(|sidecar| async move {
+    with_confirmed_sidecar(|sidecar| async move {
         let text = |from: &str, to: &str| {
             let known = r#"{"index":1,"snapshot":true,"endpoints":[]}"#;
-            let valid = common::config("127.0.0.1:0", "127.0.0.1:1", known);
+            let valid = common::config_json("127.0.0.1:0", "127.0.0.1:1", known);
             assert!(valid.contains(from));
             Config::parse(&valid.replacen(from, to, 1), |_| None)
         };
-        let mut client = Peer::to(&sidecar).await;
-        client.say(PLAN).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send(PLAN_REQUEST).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
         // From now on `plan` must not run twice; the open request may, since it arrived before.
         let stricter = text("\"read_like\"", "\"non_idempotent\"");
-        sidecar.control.reload(stricter, &sidecar.counters).expect("whole");
-        rest().await;
-        endpoint.say("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
-        endpoint.say("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 200"));
+        sidecar.reloader.reload(stricter, &sidecar.counters).expect("whole");
+        wait_until_reusable().await;
+        endpoint.send("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
+        endpoint.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 200"));
         // In the old form, but with the new effect.
-        client.say(PLAN).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
-        endpoint.say("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 502"));
+        client.send(PLAN_REQUEST).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
+        endpoint.send("HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 502"));
         // Fewer attempts apply from now on, and an invalid file changes nothing.
         sidecar
-            .control
+            .reloader
             .reload(text("\"max-attempts\":3", "\"max-attempts\":1"), &sidecar.counters)
             .expect("whole");
         sidecar
-            .control
+            .reloader
             .reload(text("\"step-ns\"", "\"s\""), &sidecar.counters)
             .expect_err("a key is missing");
-        rest().await;
+        wait_until_reusable().await;
         let dispatches = sidecar.counters.dispatches.get();
-        client.say(&PLAN.replace("GET /plan", "GET /plan/x")).await;
-        let mut endpoint = next(&sidecar.backend).await;
-        endpoint.hear().await;
+        client.send(&PLAN_REQUEST.replace("GET /plan", "GET /plan/x")).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        endpoint.receive().await;
         endpoint
-            .say("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+            .send("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
             .await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 503"));
+        assert!(client.receive().await.starts_with("HTTP/1.1 503"));
         assert_eq!(sidecar.counters.dispatches.get(), dispatches + 1);
         let figures = stats(&sidecar).await;
         assert_eq!((&figures["cfg_accepted"], &figures["cfg_invalid"]), (&2.into(), &1.into()));
@@ -624,7 +631,7 @@
 
 #[test]
 fn a_large_response_is_forwarded_completely_or_visibly_cut_wherever_it_breaks() {
-    confirmed_story(|sidecar| async move {
+    with_confirmed_sidecar(|sidecar| async move {
         const LENGTH: usize = 300_000;
         for chunked in [false, true] {
             let all = encode_message("HTTP/1.1 200 OK\r\nConnection: close\r\n", chunked, LENGTH, usize::MAX);
@@ -640,11 +647,11 @@
                 all.len(),
             ];
             for cut in cuts {
-                let mut client = Peer::to(&sidecar).await;
+                let mut client = TestConnection::to(&sidecar).await;
                 // A request that must not run twice, so that each cut is one attempt.
-                client.say(&BOOK.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")).await;
-                let mut endpoint = next(&sidecar.backend).await;
-                endpoint.hear().await;
+                client.send(&BOOK_REQUEST.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")).await;
+                let mut endpoint = accept(&sidecar.endpoint).await;
+                endpoint.receive().await;
                 endpoint.0.write_all(&all[..cut]).await.expect("it reads");
                 drop(endpoint);
                 let mut text = Vec::new();
@@ -667,19 +674,19 @@
 
 #[test]
 fn a_response_that_ends_with_its_connection_counts_if_its_head_says_so() {
-    confirmed_story(|sidecar| async move {
+    with_confirmed_sidecar(|sidecar| async move {
         for (head, served) in [
             ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", true),
             ("HTTP/1.0 200 OK\r\n\r\n", true),
             ("HTTP/1.1 200 OK\r\n\r\n", false),
         ] {
-            let mut client = Peer::to(&sidecar).await;
-            client.say(BOOK).await;
-            let mut endpoint = next(&sidecar.backend).await;
-            endpoint.hear().await;
-            endpoint.say(&format!("{head}all of it")).await;
+            let mut client = TestConnection::to(&sidecar).await;
+            client.send(BOOK_REQUEST).await;
+            let mut endpoint = accept(&sidecar.endpoint).await;
+            endpoint.receive().await;
+            endpoint.send(&format!("{head}all of it")).await;
             drop(endpoint);
-            let response = client.hear().await;
+            let response = client.receive().await;
             assert_eq!(
                 response.starts_with("HTTP/1.1 200") && response.ends_with("all of it"),
                 served,
@@ -694,37 +701,37 @@
 
 #[test]
 fn a_large_request_is_forwarded_as_it_arrives_and_retried_only_while_it_is_buffered() {
-    confirmed_story(|sidecar| async move {
+    with_confirmed_sidecar(|sidecar| async move {
         // Up to the buffer limit it may be sent again if the first attempt never ran.
         for (chunked, length) in [(false, 100_000), (true, 700_000)] {
-            let mut client = Peer::to(&sidecar).await;
+            let mut client = TestConnection::to(&sidecar).await;
             client.0.write_all(&encode_message(LARGE, chunked, length, usize::MAX)).await.expect("it reads");
             for last in [false, true] {
-                let mut endpoint = next(&sidecar.backend).await;
+                let mut endpoint = accept(&sidecar.endpoint).await;
                 let (head, body) = receive_at_least(&mut endpoint, length).await;
                 assert!(head.contains(&format!("Content-Length: {length}\r\n")), "{head}");
                 assert!(body.len() == length && body[length - 1] == b'a' + ((length - 1) % 23) as u8);
                 let response = ["503 No\r\nX-Rejected: 1", "200 OK"][usize::from(last)];
                 let response =
                     format!("HTTP/1.1 {response}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-                endpoint.say(&response).await;
+                endpoint.send(&response).await;
             }
-            assert!(client.hear().await.starts_with("HTTP/1.1 200"));
+            assert!(client.receive().await.starts_with("HTTP/1.1 200"));
         }
         // Larger bodies are sent on while they arrive, and only once.
         const LENGTH: usize = 3_000_000;
         for chunked in [false, true] {
             let all = encode_message(LARGE, chunked, LENGTH, usize::MAX);
-            let mut client = Peer::to(&sidecar).await;
+            let mut client = TestConnection::to(&sidecar).await;
             let (first, second) = all.split_at(all.len() / 2);
             client.0.write_all(first).await.expect("it reads");
-            let mut endpoint = next(&sidecar.backend).await;
+            let mut endpoint = accept(&sidecar.endpoint).await;
             let (head, body) = receive_at_least(&mut endpoint, 1 << 20).await;
             assert_eq!(head.contains("Transfer-Encoding: chunked"), chunked, "{head}");
             client.0.write_all(second).await.expect("it reads");
             receive_at_least(&mut endpoint, LENGTH - body.len() - 200_000).await;
             drop(endpoint);
-            let response = client.hear().await;
+            let response = client.receive().await;
             let (never_ran, failed) =
                 (response.starts_with("HTTP/1.1 503"), response.starts_with("HTTP/1.1 502"));
             assert!(never_ran || failed, "{chunked} {response} {}", sidecar.counters.json());
@@ -732,26 +739,26 @@
         let dispatches = sidecar.counters.dispatches.get();
         assert!(dispatches <= 4 + 4, "{dispatches}: a discarded body is not sent again");
         // A body that makes no progress is rejected, and its endpoint never gets the end of it.
-        let mut client = Peer::to(&sidecar).await;
+        let mut client = TestConnection::to(&sidecar).await;
         client.0.write_all(&encode_message(LARGE, false, LENGTH, LENGTH / 2)).await.expect("it reads");
-        let mut endpoint = next(&sidecar.backend).await;
+        let mut endpoint = accept(&sidecar.endpoint).await;
         receive_at_least(&mut endpoint, 1 << 20).await;
         let started = Tokio.now();
-        let response = client.hear().await;
+        let response = client.receive().await;
         assert!(
             response.starts_with("HTTP/1.1 408") && Tokio.since(started) < std::time::Duration::from_secs(3),
             "{response}"
         );
         // A request that does not fit its class is rejected before its body has arrived.
-        let mut client = Peer::to(&sidecar).await;
+        let mut client = TestConnection::to(&sidecar).await;
         let other = encode_message(&LARGE.replace("book", "other"), false, 9_000_000, usize::MAX);
         client.0.write_all(&other).await.expect("the body is read, or the response would be lost");
-        assert!(client.hear().await.starts_with("HTTP/1.1 400"));
+        assert!(client.receive().await.starts_with("HTTP/1.1 400"));
     });
 }
 
 /// Receives a head and at least this many bytes after it, which may include chunk framing.
-async fn receive_at_least(peer: &mut Peer, least: usize) -> (String, Vec<u8>) {
+async fn receive_at_least(peer: &mut TestConnection, least: usize) -> (String, Vec<u8>) {
     let (mut text, mut at) = (Vec::new(), None);
     while at.is_none_or(|at| text.len() < at + least) {
         if peer.0.read_buf(&mut text).await.expect("bytes") == 0 {
@@ -766,25 +773,28 @@
 
 #[test]
 fn a_slow_client_has_time_for_a_head_and_for_a_body_that_makes_progress() {
-    story(|sidecar| async move {
-        let _discovery = confirm_all(&sidecar);
+    with_sidecar(|sidecar| async move {
+        let _discovery = confirm_all_calls(&sidecar);
         let pause = |ms| Tokio.sleep(std::time::Duration::from_millis(ms));
-        let mut client = Peer::to(&sidecar).await;
-        client.say("POST /book HTTP/1.1\r\nX-Call-Id: 2\r\n").await;
+        let mut client = TestConnection::to(&sidecar).await;
+        client.send("POST /book HTTP/1.1\r\nX-Call-Id: 2\r\n").await;
         pause(2000).await;
-        client.say("X-Budget: 300m\r\nContent-Length: 3\r\n\r\n").await;
+        client.send("X-Budget: 300m\r\nContent-Length: 3\r\n\r\n").await;
         for byte in ["a", "b", "c"] {
             pause(500).await;
-            client.say(byte).await;
+            client.send(byte).await;
         }
         // Its time runs from its last byte.
-        let mut endpoint = next(&sidecar.backend).await;
-        assert!(endpoint.hear().await.ends_with("\r\n\r\nabc"));
-        endpoint.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 200"));
+        let mut endpoint = accept(&sidecar.endpoint).await;
+        assert!(endpoint.receive().await.ends_with("\r\n\r\nabc"));
+        endpoint.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+        assert!(client.receive().await.starts_with("HTTP/1.1 200"));
         let started = Tokio.now();
-        client.say("POST /book HTTP/1.1\r\nContent-Length: 3\r\n\r\na").await;
-        assert!(client.hear().await.starts_with("HTTP/1.1 408"), "a body that makes no progress is rejected");
+        client.send("POST /book HTTP/1.1\r\nContent-Length: 3\r\n\r\na").await;
+        assert!(
+            client.receive().await.starts_with("HTTP/1.1 408"),
+            "a body that makes no progress is rejected"
+        );
         assert!(Tokio.since(started) < std::time::Duration::from_secs(3));
     });
 }
--- a/crates/sidecar/tests/parts.rs
+++ b/crates/sidecar/tests/parts.rs
@@ -8,16 +8,16 @@
 use cometcroft_sidecar::classes::{CHANGE_OVERLAP, ClassRegistry, RequestForm};
 use cometcroft_sidecar::config::Config;
 use cometcroft_sidecar::counters::Counters;
-use cometcroft_sidecar::directory::{Directory, News};
 use cometcroft_sidecar::endpoint_list::{EndpointList, EndpointRecord, ListReader};
+use cometcroft_sidecar::endpoint_table::{EndpointTable, ListUpdate};
 use cometcroft_sidecar::exchange::{NoResponse, Stage, outcome_without_response, response_outcome};
-use cometcroft_sidecar::figures::Figures;
 use cometcroft_sidecar::frontend::time_left;
 use cometcroft_sidecar::http::client::ResponseReader;
-use cometcroft_sidecar::lifecycle::Machine;
+use cometcroft_sidecar::lifecycle::LifecycleState;
 use cometcroft_sidecar::pool::ConnectionPool;
-use cometcroft_sidecar::probe::report;
-use cometcroft_sidecar::retune::Control;
+use cometcroft_sidecar::probe::parse_report;
+use cometcroft_sidecar::reload::ConfigReloader;
+use cometcroft_sidecar::request_stats::RequestStats;
 use cometcroft_sidecar::upload::{BodyMemory, MAX_BUFFERED, Upload};
 use proptest::prelude::*;
 use serde_json::json;
@@ -95,24 +95,24 @@
 fn on_the_way_out_late_requests_are_due_before_the_kill() {
     let (begun, ms) = (Tokio.now(), Duration::from_millis);
     for shared in [false, true] {
-        let mut machine = Machine::new(begun, ms(8000), shared);
-        assert_eq!(machine.due(begun), None);
-        machine.leave(begun);
-        machine.leave(begun + ms(99));
-        assert!(machine.leaving() && machine.closes(begun) == shared);
-        assert_eq!(machine.due(begun + ms(300)), None);
+        let mut state = LifecycleState::new(begun, ms(8000), shared);
+        assert_eq!(state.response_deadline(begun), None);
+        state.begin_shutdown(begun);
+        state.begin_shutdown(begun + ms(99));
+        assert!(state.is_shutting_down() && state.closes_connections(begun) == shared);
+        assert_eq!(state.response_deadline(begun + ms(300)), None);
         let last = begun + ms(3400);
-        assert_eq!(machine.due(begun + ms(700)), Some(last));
-        let until = machine.accepts_until().expect("it leaves");
+        assert_eq!(state.response_deadline(begun + ms(700)), Some(last));
+        let until = state.accepts_until().expect("it leaves");
         assert!(if shared { until == begun } else { until > begun + ms(700) && until < last });
-        assert!(machine.closes(until) && machine.idle_until(0.99).is_some_and(|at| at < last));
+        assert!(state.closes_connections(until) && state.idle_close_at(0.99).is_some_and(|at| at < last));
         // New settings on the way out: whoever waits with SIGKILL knows those that were in force.
-        machine.longest(ms(60_000));
-        assert_eq!(machine.due(begun + ms(700)), Some(last));
-        machine.longest(ms(1000));
-        assert_eq!(machine.due(begun + ms(1000)), Some(begun + ms(1400)));
-        machine.longest(ms(60_000));
-        assert_eq!(machine.due(begun + ms(1000)), Some(begun + ms(1400)));
+        state.set_max_deadline(ms(60_000));
+        assert_eq!(state.response_deadline(begun + ms(700)), Some(last));
+        state.set_max_deadline(ms(1000));
+        assert_eq!(state.response_deadline(begun + ms(1000)), Some(begun + ms(1400)));
+        state.set_max_deadline(ms(60_000));
+        assert_eq!(state.response_deadline(begun + ms(1000)), Some(begun + ms(1400)));
     }
 }
 
@@ -126,8 +126,8 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(300))]
-    /// Whatever the order, what the machine says follows from what was said last, and the way out is never undone.
+    #![proptest_config(common::proptest_config(300))]
+    /// Whatever the order, what the state says follows from what was said last, and the way out is never undone.
     #[test]
     fn the_life_of_a_sidecar_follows_from_what_happened(
         shared in any::<bool>(),
@@ -138,42 +138,42 @@
         place in 0.0..1.0f64,
     ) {
         let (born, ms) = (Tokio.now(), Duration::from_millis);
-        let mut machine = Machine::new(born, ms(3000), shared);
+        let mut state = LifecycleState::new(born, ms(3000), shared);
         let (mut now, mut listed, mut fresh, mut drain, mut term) = (born, false, false, None, None);
         for (step, later) in steps {
             now += ms(later);
             match step {
                 Happens::Listed(any, told) => {
-                    machine.listed(any, told);
+                    state.record_list(any, told);
                     (listed, fresh) = (any, fresh || told);
                 }
                 Happens::Drain => {
-                    machine.drain(now);
+                    state.start_drain(now);
                     drain.get_or_insert(now);
                 }
                 Happens::Undrain => {
-                    machine.undrain();
+                    state.stop_drain();
                     drain = None;
                 }
                 Happens::Leave => {
-                    machine.leave(now);
+                    state.begin_shutdown(now);
                     term.get_or_insert(now);
                 }
             }
             let told = fresh || now >= born + ms(if shared { 2500 } else { 5000 });
-            prop_assert_eq!(machine.wanted(now), listed && told && drain.is_none() && term.is_none());
-            prop_assert_eq!(machine.idle_until(place).is_some(), drain.is_some() || term.is_some());
-            prop_assert_eq!(machine.accepts_until().is_some(), term.is_some());
-            prop_assert_eq!(machine.due(now).is_some(), term.is_some_and(|at: std::time::Instant| now >= at + ms(600)));
+            prop_assert_eq!(state.is_ready(now), listed && told && drain.is_none() && term.is_none());
+            prop_assert_eq!(state.idle_close_at(place).is_some(), drain.is_some() || term.is_some());
+            prop_assert_eq!(state.accepts_until().is_some(), term.is_some());
+            prop_assert_eq!(state.response_deadline(now).is_some(), term.is_some_and(|at: std::time::Instant| now >= at + ms(600)));
             // Two seconds into a drain no connection is held idle, and every answer ends its own.
             if let Some(at) = drain {
-                prop_assert!(machine.idle_until(place).is_some_and(|closed| closed < at + ms(2000)));
-                prop_assert!(machine.closes(at + ms(1000)));
+                prop_assert!(state.idle_close_at(place).is_some_and(|closed| closed < at + ms(2000)));
+                prop_assert!(state.closes_connections(at + ms(1000)));
             }
             if let (None, None) = (drain, term) {
-                prop_assert!(!machine.closes(now + ms(9999)), "what was sent away has been called back");
+                prop_assert!(!state.closes_connections(now + ms(9999)), "what was sent away has been called back");
             }
-            prop_assert!(machine.accepts_from() <= born + ms(3000));
+            prop_assert!(state.accepts_from() <= born + ms(3000));
         }
     }
 }
@@ -181,7 +181,7 @@
 #[test]
 fn an_absurd_load_report_says_nothing() {
     let fields = [Field::Inflight, Field::Queue];
-    let read = |text: &str| report(text.as_bytes(), &fields).is_some();
+    let read = |text: &str| parse_report(text.as_bytes(), &fields).is_some();
     assert!(read(r#"{"inflight":3,"queue":0.5,"other":-1}"#));
     for bad in ["%%%", "{\"", "[]", r#"{"inflight":-1}"#, r#"{"queue":1e300}"#, r#"{"queue":"many"}"#] {
         assert!(!read(bad), "{bad}");
@@ -189,31 +189,32 @@
 }
 
 /// Has a directory take a list, if it can be read.
-fn taken(directory: &Directory, list: &serde_json::Value) -> Option<News> {
-    directory.take(EndpointList::from_value(list).ok()?, None).news()
+fn taken(endpoints: &EndpointTable, list: &serde_json::Value) -> Option<ListUpdate> {
+    endpoints.apply(EndpointList::from_value(list).ok()?, None).update()
 }
 
 /// Has a directory take what a list that broke off bars.
-fn salvaged(directory: &Directory, part: &[u8]) -> Vec<EndpointEntry> {
+fn salvaged(endpoints: &EndpointTable, part: &[u8]) -> Vec<EndpointEntry> {
     let mut reader = ListReader::default();
     reader.push(part).expect("well formed as far as it goes");
-    let records: Vec<EndpointRecord> = reader.records().iter().cloned().chain(reader.arriving()).collect();
-    directory.bar(&records, reader.index())
+    let records: Vec<EndpointRecord> =
+        reader.records().iter().cloned().chain(reader.partial_record()).collect();
+    endpoints.exclude(&records, reader.version())
 }
 
 #[test]
-fn the_directory_tells_drains_moves_and_starts() {
-    let directory = Directory::new(vec!["a".into(), "b".into()], Duration::from_secs(3600), Tokio.unix());
+fn the_endpoint_table_tells_drains_moves_and_starts() {
+    let endpoints = EndpointTable::new(vec!["a".into(), "b".into()], Duration::from_secs(3600), Tokio.unix());
     let entry = |name: &str, port: u16, status: &str| {
         json!({"name": name, "address": format!("127.0.0.1:{port}"), "zone": "b", "type": "m", "group": 3,
                "status": status, "weight": 1.5, "since_ms": 0})
     };
-    let take = |value: serde_json::Value| taken(&directory, &value);
-    let open = |id| directory.open(EndpointId(id));
+    let take = |value: serde_json::Value| taken(&endpoints, &value);
+    let open = |id| endpoints.is_open(EndpointId(id));
     let first =
         json!({"index": 4, "snapshot": true, "endpoints": [entry("x", 1, "up"), entry("y", 2, "up")]});
     let news = take(first).expect("a list");
-    assert_eq!((news.index, news.scope, news.entries.len()), (4, ListScope::Complete, 2));
+    assert_eq!((news.version, news.scope, news.entries.len()), (4, ListScope::Complete, 2));
     assert_eq!(
         (news.entries[1].zone, news.entries[1].cell, news.entries[1].started),
         (ZoneId(1), CellId(3), None)
@@ -227,9 +228,9 @@
     assert!(!open(0));
     // It may come back, elsewhere.
     take(json!({"index": 6, "snapshot": false, "endpoints": [entry("x", 9, "up")]}));
-    assert!(open(0) && directory.address(EndpointId(0)).is_some_and(|a| a.port() == 9));
+    assert!(open(0) && endpoints.address(EndpointId(0)).is_some_and(|a| a.port() == 9));
     let at = |port: u16| std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    assert!(directory.open_at(EndpointId(0), at(9)) && !directory.open_at(EndpointId(0), at(1)));
+    assert!(endpoints.is_open_at(EndpointId(0), at(9)) && !endpoints.is_open_at(EndpointId(0), at(1)));
     // Who is absent from a whole list is gone; one that was never there needs no place.
     let rest = json!({"index": 7, "snapshot": true, "endpoints": [entry("x", 9, "up"), {"name": "z", "status": "removed"}]});
     assert_eq!(take(rest).expect("a list").entries.len(), 1);
@@ -256,14 +257,14 @@
         row + list[row..].find(",\"zone\"").expect("a field behind it")
     };
     for cut in 0..=list.len() {
-        let directory = Directory::new(vec![], Duration::ZERO, Tokio.unix());
-        taken(&directory, &known).expect("a list");
-        let members = salvaged(&directory, &list.as_bytes()[..cut]);
+        let endpoints = EndpointTable::new(vec![], Duration::ZERO, Tokio.unix());
+        taken(&endpoints, &known).expect("a list");
+        let members = salvaged(&endpoints, &list.as_bytes()[..cut]);
         let expected = usize::from(cut >= told("a")) + usize::from(cut >= told("c"));
         assert_eq!(members.len(), expected, "cut at {cut}");
         assert!(members.iter().all(|m| m.state != EndpointState::Ready));
-        assert_eq!(directory.len(), 3 - usize::from(cut >= told("c")), "one that is gone leaves the table");
-        assert!(directory.open(EndpointId(1)), "what is up and the unknown are left alone");
+        assert_eq!(endpoints.len(), 3 - usize::from(cut >= told("c")), "one that is gone leaves the table");
+        assert!(endpoints.is_open(EndpointId(1)), "what is up and the unknown are left alone");
     }
 }
 
@@ -271,19 +272,19 @@
 #[test]
 fn what_a_list_bars_ahead_counts_for_servers_that_are_not_known_yet() {
     for status in ["draining", "removed"] {
-        let directory = Directory::new(vec![], Duration::ZERO, Tokio.unix());
+        let endpoints = EndpointTable::new(vec![], Duration::ZERO, Tokio.unix());
         let part = format!(
             r#"{{"index":30,"snapshot":true,"endpoints":[{{"name":"a","address":"127.0.0.1:7","status":"{status}"}},"#
         );
-        assert!(salvaged(&directory, part.as_bytes()).is_empty(), "it is not known");
+        assert!(salvaged(&endpoints, part.as_bytes()).is_empty(), "it is not known");
         let list = |index: u32| {
             let up = |name| json!({"name": name, "address": "127.0.0.1:7", "status": "up"});
             json!({"index": index, "snapshot": true, "endpoints": [up("a"), up("b")]})
         };
-        let older = taken(&directory, &list(29)).expect("a list");
-        assert_eq!((older.entries.len(), directory.len()), (1, 1), "b alone is open");
-        assert_eq!(taken(&directory, &list(30)).expect("a list").entries.len(), 2);
-        assert_eq!(directory.len(), 2);
+        let older = taken(&endpoints, &list(29)).expect("a list");
+        assert_eq!((older.entries.len(), endpoints.len()), (1, 1), "b alone is open");
+        assert_eq!(taken(&endpoints, &list(30)).expect("a list").entries.len(), 2);
+        assert_eq!(endpoints.len(), 2);
     }
 }
 
@@ -295,9 +296,9 @@
     let news = json!({"index": 2, "snapshot": false, "endpoints": [drains, up("b")]});
     let pretty = serde_json::to_string_pretty(&news).expect("text");
     let fresh = || {
-        let directory = Directory::new(vec![], Duration::ZERO, Tokio.unix());
-        taken(&directory, &known).expect("a list");
-        directory
+        let endpoints = EndpointTable::new(vec![], Duration::ZERO, Tokio.unix());
+        taken(&endpoints, &known).expect("a list");
+        endpoints
     };
     let read = serde_json::from_str(&pretty).expect("JSON");
     assert_eq!(taken(&fresh(), &read).expect("news").entries[0].state, EndpointState::Draining);
@@ -313,53 +314,53 @@
 fn what_the_plan_bars_stays_barred_whatever_discovery_says_and_comes_back_as_discovery_has_it() {
     use cometcroft_plan::WeightAdjustment;
     use std::{cell::Cell, rc::Rc};
-    let directory = Directory::new(vec!["z".into()], Duration::ZERO, Tokio.unix());
+    let endpoints = EndpointTable::new(vec!["z".into()], Duration::ZERO, Tokio.unix());
     let verdict = Rc::new(Cell::new(WeightAdjustment::Excluded));
     let judging = verdict.clone();
-    directory.judge_by(Box::new(move |name, zone, _| {
+    endpoints.set_weight_adjuster(Box::new(move |name, zone, _| {
         if (name, zone) == ("a", "z") { judging.get() } else { WeightAdjustment::Unchanged }
     }));
     let row = |name, status| json!({"name": name, "address": "127.0.0.1:7", "zone": "z", "status": status, "weight": 2.0});
     let list = |index: u32, status| json!({"index": index, "snapshot": true, "endpoints": [row("a", status), row("b", "up")]});
-    let news = taken(&directory, &list(1, "up")).expect("a list");
+    let news = taken(&endpoints, &list(1, "up")).expect("a list");
     assert_eq!(
         (news.entries[0].state, news.entries[1].state),
         (EndpointState::Draining, EndpointState::Ready)
     );
-    let open = |id| directory.open(EndpointId(id));
+    let open = |id| endpoints.is_open(EndpointId(id));
     assert!(!open(0) && open(1), "a bar has no grace, and bars nobody else");
-    assert!(directory.judge().is_empty(), "nothing has changed");
+    assert!(endpoints.refresh_adjustments().is_empty(), "nothing has changed");
     verdict.set(WeightAdjustment::Scaled(0.5));
-    let back = directory.judge();
+    let back = endpoints.refresh_adjustments();
     assert_eq!((back.len(), back[0].state, back[0].weight), (1, EndpointState::Ready, 1.0));
     assert!(open(0));
     // Discovery is stricter: no verdict opens what it drains.
-    taken(&directory, &list(2, "draining")).expect("a list");
+    taken(&endpoints, &list(2, "draining")).expect("a list");
     verdict.set(WeightAdjustment::Unchanged);
-    assert_eq!(directory.judge()[0].state, EndpointState::Draining);
+    assert_eq!(endpoints.refresh_adjustments()[0].state, EndpointState::Draining);
 }
 
 #[test]
-fn the_directory_holds_only_what_is_listed() {
-    let directory = Directory::new(vec![], Duration::ZERO, Tokio.unix());
+fn the_endpoint_table_holds_only_what_is_listed() {
+    let endpoints = EndpointTable::new(vec![], Duration::ZERO, Tokio.unix());
     let entry =
         |n: u32, status: &str| json!({"name": n.to_string(), "address": "127.0.0.1:1", "status": status});
     for n in 0..1000u32 {
         let changes = json!([entry(n, "up"), entry(n.wrapping_sub(1), "removed")]);
         let list = json!({"index": n, "snapshot": false, "endpoints": changes});
-        assert_eq!(taken(&directory, &list).expect("a list").entries.len(), 1 + usize::from(n > 0));
-        assert_eq!(directory.len(), 1);
+        assert_eq!(taken(&endpoints, &list).expect("a list").entries.len(), 1 + usize::from(n > 0));
+        assert_eq!(endpoints.len(), 1);
     }
-    assert!(directory.open(EndpointId(999)) && !directory.open(EndpointId(998)));
+    assert!(endpoints.is_open(EndpointId(999)) && !endpoints.is_open(EndpointId(998)));
 }
 
 #[test]
 fn a_start_keeps_its_time_on_the_clock() {
-    let directory = Directory::new(vec![], Duration::from_secs(3600), Tokio.unix());
+    let endpoints = EndpointTable::new(vec![], Duration::from_secs(3600), Tokio.unix());
     let unix = Tokio.unix();
     let list = json!({"index": 1, "snapshot": true, "endpoints": [{"name": "x", "address": "127.0.0.1:1",
         "zone": "?", "status": "up", "since_ms": unix.as_millis() as u64}]});
-    let started = || taken(&directory, &list).expect("a list").entries[0].started;
+    let started = || taken(&endpoints, &list).expect("a list").entries[0].started;
     // The module takes another start for another process, so reading it again must not move it.
     assert_eq!(started(), started());
     assert!(started().is_some_and(|at| at > Duration::from_secs(3000)));
@@ -380,18 +381,18 @@
 #[test]
 fn a_report_holds_what_the_settings_name() {
     let fields = [Field::Inflight, Field::Queue];
-    let read = report(br#"{"inflight":7,"queue":2,"util":0.61,"new":"x"}"#, &fields).expect("a report");
+    let read = parse_report(br#"{"inflight":7,"queue":2,"util":0.61,"new":"x"}"#, &fields).expect("a report");
     assert_eq!((read.inflight, read.queue, read.utilization), (Some(7.0), Some(2.0), None));
-    assert_eq!(report(&Bytes::from_static(b"{"), &fields), None);
+    assert_eq!(parse_report(&Bytes::from_static(b"{"), &fields), None);
 }
 
 #[test]
 fn a_bad_configuration_names_its_field_in_one_line() {
-    let good = common::config("127.0.0.1:0", "127.0.0.1:1", "null");
+    let good = common::config_json("127.0.0.1:0", "127.0.0.1:1", "null");
     let none = |_: &str| None;
     let config = Config::parse(&good, none).expect("good");
     assert!(config.settings.limits.retry_after, "who is denied is told when to come back");
-    assert_eq!(config.net.classes, ["plan", "book", "pay"]);
+    assert_eq!(config.network.classes, ["plan", "book", "pay"]);
     let told = |name: &str| (name == "LB_NAME").then(|| "other".to_owned());
     assert_eq!(Config::parse(&good, told).expect("good").name, "other");
     for (from, to, field) in [
@@ -412,10 +413,10 @@
 
 #[test]
 fn of_a_new_file_nothing_is_taken_unless_it_is_whole() {
-    let good = common::config("127.0.0.1:0", "127.0.0.1:1", "null");
+    let good = common::config_json("127.0.0.1:0", "127.0.0.1:1", "null");
     let parse = |text: &str| Config::parse(text, |_| None);
     let config = parse(&good).expect("good");
-    let (control, counters) = (Control::new(&config), Counters::default());
+    let (control, counters) = (ConfigReloader::new(&config), Counters::default());
     let mut bad = 0;
     let mut refused = |text: &str| {
         bad += 1;
@@ -478,7 +479,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(60))]
+    #![proptest_config(common::proptest_config(60))]
     /// Over any files and requests, a number means one class to whoever holds it, and the table stays short.
     #[test]
     fn a_number_stands_for_one_class_while_anyone_holds_it(
@@ -521,7 +522,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(100))]
+    #![proptest_config(common::proptest_config(100))]
     /// Whatever is gathered, begun and dropped, the bytes booked stay within the budget and all come back.
     #[test]
     fn the_memory_for_large_bodies_is_never_exceeded_and_always_given_back(
@@ -555,15 +556,15 @@
 
 #[test]
 fn what_was_counted_outlives_its_class_until_newer_ones_need_the_room() {
-    let figures = Figures::default();
+    let stats = RequestStats::default();
     for n in 0..1000 {
-        figures.name(&["zz".to_owned(), format!("c{n}")]);
-        figures.relay(ClassId(0));
-        figures.relay(ClassId(1));
+        stats.set_class_names(&["zz".to_owned(), format!("c{n}")]);
+        stats.record_relayed(ClassId(0));
+        stats.record_relayed(ClassId(1));
     }
-    let tallies = figures.tallies();
-    assert_eq!((tallies.len(), tallies["zz"].relayed, figures.relayed()), (256, 1000, 2000));
-    assert!(tallies.contains_key("c745") && !tallies.contains_key("c744"), "those gone longest made room");
+    let classes = stats.by_class();
+    assert_eq!((classes.len(), classes["zz"].relayed, stats.relayed()), (256, 1000, 2000));
+    assert!(classes.contains_key("c745") && !classes.contains_key("c744"), "those gone longest made room");
 }
 
 #[test]
@@ -594,7 +595,7 @@
 #[test]
 fn a_module_is_not_told_of_second_copies_that_the_session_table_declines() {
     let mut value: serde_json::Value =
-        serde_json::from_str(&common::config("127.0.0.1:0", "127.0.0.1:1", "null")).expect("JSON");
+        serde_json::from_str(&common::config_json("127.0.0.1:0", "127.0.0.1:1", "null")).expect("JSON");
     value["settings"]["policy-limits"]["second-copies"] = json!(true);
     let config = Config::parse(&value.to_string(), |_| None).expect("good");
     assert!(!config.settings.limits.hedging, "the table has one dispatch of a session out at most");
@@ -602,10 +603,10 @@
 
 #[test]
 fn the_level_of_the_log_is_named_or_refused() {
-    use cometcroft_sidecar::logging::level;
-    assert_eq!(level(None).map(|level| level.to_string()), Ok("info".to_owned()));
-    assert_eq!(level(Some("debug")).map(|level| level.to_string()), Ok("debug".to_owned()));
-    let refused = level(Some("loud")).map_err(|error| error.to_string());
+    use cometcroft_sidecar::logging::parse_level;
+    assert_eq!(parse_level(None).map(|level| level.to_string()), Ok("info".to_owned()));
+    assert_eq!(parse_level(Some("debug")).map(|level| level.to_string()), Ok("debug".to_owned()));
+    let refused = parse_level(Some("loud")).map_err(|error| error.to_string());
     assert_eq!(refused.unwrap_err(), "LB_LOG: \"loud\" is no level; off, error, warn, info, debug or trace");
 }
 
@@ -617,14 +618,14 @@
         for shared in [false, true] {
             let now = Tokio.now();
             let longest = Duration::from_millis(deadline);
-            let mut machine = Machine::new(now, longest, shared);
-            machine.leave(now);
+            let mut state = LifecycleState::new(now, longest, shared);
+            state.begin_shutdown(now);
             let kill = now + longest.min(Duration::from_secs(3)) + Duration::from_millis(700);
             for place in [0.0, 0.5, 1.0] {
-                let idle_until = machine.idle_until(place).expect("it leaves");
+                let idle_until = state.idle_close_at(place).expect("it leaves");
                 assert!(idle_until + Duration::from_millis(400) <= kill, "{deadline} ms, shared: {shared}");
             }
-            let accepts_until = machine.accepts_until().expect("it leaves");
+            let accepts_until = state.accepts_until().expect("it leaves");
             assert!(shared || accepts_until >= now + Duration::from_millis(400), "{deadline} ms");
             assert!(accepts_until + Duration::from_millis(400) <= kill, "{deadline} ms, shared: {shared}");
         }
--- a/crates/sidecar/tests/requests.rs
+++ b/crates/sidecar/tests/requests.rs
@@ -137,7 +137,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::fixed(150))]
+    #![proptest_config(common::proptest_config(150))]
 
     #[test]
     fn every_request_gets_one_final_response_and_the_rules_hold(steps in prop::collection::vec(step(), 1..120)) {
