--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -162,8 +162,8 @@
     }
 
     /// Puts back a connection whose response has been read completely.
-    pub fn put(&self, to: EndpointId, lease: PooledConnection<P>) {
-        let PooledConnection { stream, address, .. } = lease;
+    pub fn put(&self, to: EndpointId, connection: PooledConnection<P>) {
+        let PooledConnection { stream, address, .. } = connection;
         let idle = Idle { stream, address, since: self.platform.now() };
         self.idle.borrow_mut().entry(to).or_default().push(idle);
     }
--- a/crates/sidecar/src/requests/table.rs
+++ b/crates/sidecar/src/requests/table.rs
@@ -98,7 +98,8 @@
     payload: P,
     class: ClassId,
     attempts: Vec<Attempt>,
-    answered: bool,
+    /// The final response has been sent, or the client has disconnected.
+    finished: bool,
 }
 
 impl<P> OpenRequest<P> {
@@ -153,7 +154,7 @@
 
     /// Number of requests without a final response.
     pub fn unanswered_count(&self) -> usize {
-        self.requests.values().filter(|request| !request.answered).count()
+        self.requests.values().filter(|request| !request.finished).count()
     }
 
     /// Passes an event that concerns no request to the module.
@@ -180,7 +181,7 @@
         let (id, NewRequest { class, tenant, time_left, client_retry, payload }) = (self.next, request);
         self.next += 1;
         count(&self.counters.sessions);
-        self.requests.insert(id, OpenRequest { payload, class, attempts: Vec::new(), answered: false });
+        self.requests.insert(id, OpenRequest { payload, class, attempts: Vec::new(), finished: false });
         let request = RequestId(id);
         let commands = self.handle_event(
             now,
@@ -216,12 +217,12 @@
             Outcome::Cancelled => &self.counters.dispatch_cancelled,
             Outcome::NotSent => &self.counters.dispatch_moot,
         });
-        if let (Some(response), Outcome::Ok, false) = (response, outcome, open.answered) {
-            open.answered = true;
+        if let (Some(response), Outcome::Ok, false) = (response, outcome, open.finished) {
+            open.finished = true;
             count(&self.counters.served);
             self.commands.push(Command::Respond(id, FinalResponse::Served(response)));
         }
-        let (request, finished) = (RequestId(id), open.answered);
+        let (request, finished) = (RequestId(id), open.finished);
         let event = Event::Outcome { request, attempt, endpoint, finished, outcome, latency, report };
         self.events.push_back(event);
         self.run(now)
@@ -229,8 +230,8 @@
 
     /// Records that the client has disconnected; no response is needed any more.
     pub fn client_disconnected(&mut self, now: Time, id: RequestNumber) -> Vec<Command<P, A>> {
-        match self.requests.get_mut(&id).filter(|request| !request.answered) {
-            Some(open) => open.answered = true,
+        match self.requests.get_mut(&id).filter(|request| !request.finished) {
+            Some(open) => open.finished = true,
             None => return Vec::new(),
         }
         count(&self.counters.withdrawn);
@@ -239,8 +240,8 @@
 
     /// Records that the deadline has passed, whatever the module is waiting for.
     pub fn deadline_passed(&mut self, now: Time, id: RequestNumber) -> Vec<Command<P, A>> {
-        match self.requests.get_mut(&id).filter(|request| !request.answered) {
-            Some(open) => open.answered = true,
+        match self.requests.get_mut(&id).filter(|request| !request.finished) {
+            Some(open) => open.finished = true,
             None => return Vec::new(),
         }
         count(&self.counters.overdue);
@@ -269,7 +270,7 @@
                 request: RequestId(id),
                 attempt: attempt as u32,
                 endpoint: current.endpoint,
-                finished: open.answered,
+                finished: open.finished,
                 outcome: Outcome::Cancelled,
                 latency: now.saturating_sub(current.started),
                 report: None,
@@ -292,7 +293,7 @@
             self.actions = actions;
             if let Some(id) = changed
                 && self.requests.get(&id).is_some_and(|request| {
-                    request.answered && request.attempts.iter().all(|attempt| !attempt.running)
+                    request.finished && request.attempts.iter().all(|attempt| !attempt.running)
                 })
             {
                 self.requests.remove(&id);
@@ -306,9 +307,9 @@
         match action {
             Action::Send { request, endpoint, timeout } => self.send(now, request.0, endpoint, timeout),
             Action::Reject { request, retry_after } => {
-                self.answer(now, request.0, FinalResponse::Rejected { retry_after });
+                self.respond(now, request.0, FinalResponse::Rejected { retry_after });
             }
-            Action::Fail(request) => self.answer(now, request.0, FinalResponse::Failed),
+            Action::Fail(request) => self.respond(now, request.0, FinalResponse::Failed),
             Action::Cancel { request, .. } => self.cancel_attempts(now, request.0),
             Action::SetTimer { after, timer } => self.commands.push(Command::SetTimer(after, timer)),
             Action::Probe(endpoint) => self.commands.push(Command::Probe(endpoint)),
@@ -346,12 +347,12 @@
         };
         // Attempts of one request never run side by side, whatever the module decided. An attempt that can't be
         // started is reported as never sent.
-        let blocked = running || open.answered || would_run_twice || attempt >= self.max_attempts;
+        let blocked = running || open.finished || would_run_twice || attempt >= self.max_attempts;
         open.attempts.push(Attempt { endpoint, started: now, running: !blocked, never_ran: blocked });
         let attempt = attempt as u32;
         if blocked {
             count(&self.counters.dispatch_moot);
-            let (request, finished) = (RequestId(id), open.answered);
+            let (request, finished) = (RequestId(id), open.finished);
             let (outcome, latency) = (Outcome::NotSent, Duration::ZERO);
             let event =
                 Event::Outcome { request, attempt, endpoint, finished, outcome, latency, report: None };
@@ -370,9 +371,9 @@
         });
     }
 
-    fn answer(&mut self, now: Time, id: RequestNumber, response: FinalResponse<A>) {
-        let Some(open) = self.requests.get_mut(&id).filter(|request| !request.answered) else { return };
-        open.answered = true;
+    fn respond(&mut self, now: Time, id: RequestNumber, response: FinalResponse<A>) {
+        let Some(open) = self.requests.get_mut(&id).filter(|request| !request.finished) else { return };
+        open.finished = true;
         let rejected = matches!(response, FinalResponse::Rejected { .. });
         count(if rejected { &self.counters.denied } else { &self.counters.failed });
         self.commands.push(Command::Respond(id, response));
--- a/crates/sidecar/tests/crossings.rs
+++ b/crates/sidecar/tests/crossings.rs
@@ -753,10 +753,10 @@
             );
             EndpointList::from_value(&serde_json::from_str(&text).expect("JSON")).expect("a list")
         };
-        let entries = endpoints.apply(list("up"), None).update().expect("it is taken").entries;
-        let notices = Tokio.connect(discovery.local_addr().expect("bound")).await.expect("it listens");
-        let notices = Rc::new(RefCell::new(notices));
-        endpoints.discovery_connections().add(&notices);
+        let entries = endpoints.apply(list("up"), None).update().expect("the list is accepted").entries;
+        let connection = Tokio.connect(discovery.local_addr().expect("bound")).await.expect("it listens");
+        let connection = Rc::new(RefCell::new(connection));
+        endpoints.discovery_connections().add(&connection);
         let mut peer = accept(&discovery).await;
         peer.send("x").await;
         let counters = Rc::new(Counters::default());
@@ -764,15 +764,15 @@
         let pool = ConnectionPool::new(Tokio, 2, [5 * second, second], counters.clone(), None);
         let endpoints = Rc::new(endpoints);
         let exchanger = Exchanger { pool, endpoints: endpoints.clone(), counters };
-        let (to, ends) = (entries[0].endpoint, Deadlines { end: Tokio.now() + 2 * second, write_by: None });
+        let (to, deadlines) = (entries[0].endpoint, Deadlines { end: Tokio.now() + 2 * second, write_by: None });
         let attempt = tokio::task::spawn_local(async move {
-            exchanger.run(to, || PLAN_REQUEST.as_bytes().into(), None, ends, || {}).await.map(|reply| reply.response.status)
+            exchanger.run(to, || PLAN_REQUEST.as_bytes().into(), None, deadlines, || {}).await.map(|received| received.response.status)
         });
         let mut endpoint = accept(&endpoint).await;
         Tokio.sleep(300 * MS).await;
         assert!(!attempt.is_finished());
         // The list is read, and the endpoint is draining.
-        drop(notices);
+        drop(connection);
         endpoints.exclude(&list("draining").records, Some(2));
         let ended = Tokio.timeout(second, attempt).await.expect("it is not sent and ends at once");
         assert!(ended.expect("no panic").is_err(), "it is not sent");
--- a/crates/sidecar/tests/request_log.rs
+++ b/crates/sidecar/tests/request_log.rs
@@ -17,7 +17,7 @@
     let process = Process::start(&config, &[("LB_LOG", "debug".to_owned())], 256);
     let started = Instant::now();
     let is_ready = || send_raw(listen, "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n");
-    while !is_ready().is_some_and(|answer| answer.contains(" 200 ")) {
+    while !is_ready().is_some_and(|response| response.contains(" 200 ")) {
         assert!(started.elapsed() < 10_000 * MS, "the sidecar does not become ready");
         sleep(10 * MS);
     }
