--- a/crates/sidecar/src/discovery/mod.rs
+++ b/crates/sidecar/src/discovery/mod.rs
@@ -1,6 +1,6 @@
 //! Calls to discovery. [`watch`] keeps the [`EndpointTable`] and the decision module up to date. [`schedule`] decides when a
 //! call is made. Each call runs as a separate task, which enters excluded endpoints as the records of its list arrive and
-//! reports its progress and result ([`call_reports`]).
+//! reports its progress and result (`call_reports`).
 
 mod call;
 mod call_reports;
--- a/crates/sidecar/src/freshness.rs
+++ b/crates/sidecar/src/freshness.rs
@@ -3,7 +3,7 @@
 //! A change counts as delivered [`NOTIFICATION_DEADLINE`] after discovery had it, whether or not discovery could answer all
 //! sidecars. A list therefore expires that long after the instant as of which it was known to be current. From then on only
 //! an endpoint itself can show that it does not drain: a draining endpoint rejects new requests after a while
-//! ([`DRAINING_ACCEPTS_FOR`]). Until the list is confirmed again, requests begin only at endpoints that have recently
+//! (`DRAINING_ACCEPTS_FOR`). Until the list is confirmed again, requests begin only at endpoints that have recently
 //! accepted one. A failed call to discovery, whatever the failure, opens no endpoint: it shows nothing about the changes that
 //! discovery had before.
 
--- a/crates/sidecar/src/plan_driver.rs
+++ b/crates/sidecar/src/plan_driver.rs
@@ -587,7 +587,7 @@
         self.allow_attempt_of(class, tenant, first, after, share)
     }
 
-    /// As [`PlanDriver::allow_attempt`], for a request given by its class and tenant.
+    /// As `PlanDriver::allow_attempt`, for a request given by its class and tenant.
     pub fn allow_attempt_of(
         &self,
         class: &str,
