--- a/crates/sidecar/src/probe.rs
+++ b/crates/sidecar/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: what a backend server says of its load.
+//! Probes, which ask an endpoint for its load report.
 
 use crate::counters::count;
 use crate::exchange::{Deadlines, EndpointResponse, Exchanger, NoResponse, Stage, outcome_without_response};
@@ -11,31 +11,31 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// A probe is answered beside the queue; one that takes longer than this has told nothing in time.
-const PATIENCE: Duration = Duration::from_millis(300);
+/// Timeout of a probe. Endpoints answer probes without queueing them, so a slower response would come too late to be of use.
+const TIMEOUT: Duration = Duration::from_millis(300);
 
-/// No figure of a load report is higher than this.
-const MOST: f64 = 1e6;
+/// Upper bound for the values of a load report.
+const MAX_VALUE: f64 = 1e6;
 
-/// Probes a backend server.
+/// Sends a probe to an endpoint.
 pub async fn send<P: Platform>(exchanger: &Exchanger<P>, fields: &[Field], to: EndpointId) -> ProbeResult {
     count(&exchanger.counters.probes);
     let platform = exchanger.pool.platform();
-    let (stage, ends) = (Cell::new(Stage::Unwritten), platform.now() + PATIENCE);
+    let (stage, deadline) = (Cell::new(Stage::Unwritten), platform.now() + TIMEOUT);
     let message = || client::encode_get("/metrics/load", "backend.local");
     let probed = match platform
         .timeout_at(
-            ends,
-            exchanger.run(to, message, None, Deadlines { end: ends, write_by: None }, || {
+            deadline,
+            exchanger.run(to, message, None, Deadlines { end: deadline, write_by: None }, || {
                 stage.set(Stage::Written)
             }),
         )
         .await
     {
-        Ok(Ok(EndpointResponse { response: answer, .. })) => {
-            let text = if answer.body.is_empty() { answer.load_report() } else { Some(&answer.body) };
+        Ok(Ok(EndpointResponse { response, .. })) => {
+            let text = if response.body.is_empty() { response.load_report() } else { Some(&response.body) };
             let report = text.and_then(|text| parse_report(text, fields));
-            (if answer.status == 200 { Outcome::Ok } else { Outcome::Error }, report)
+            (if response.status == 200 { Outcome::Ok } else { Outcome::Error }, report)
         }
         Ok(Err(error)) => (outcome_without_response(stage.get(), (&error).into()), None),
         Err(_) => (outcome_without_response(stage.get(), NoResponse::TimedOut), None),
@@ -46,18 +46,18 @@
     probed
 }
 
-/// Reads a load report, of the values that the settings name.
+/// Parses a load report. Fields that the settings don't name are ignored; one invalid value invalidates the report.
 pub fn parse_report(text: &[u8], fields: &[Field]) -> Option<LoadReport> {
-    let value: Value = serde_json::from_slice(text).ok()?;
+    let json: Value = serde_json::from_slice(text).ok()?;
     let mut report = LoadReport::default();
-    for (name, figure) in value.as_object()? {
+    for (name, value) in json.as_object()? {
         let field = Field::from_name(name);
         if !fields.contains(&field) {
             continue;
         }
-        // Danger: one absurd figure would make its backend server, or all the others, look idle for long.
-        let figure = figure.as_f64().filter(|figure| (0.0..=MOST).contains(figure))?;
-        field.set(&mut report, figure);
+        // An absurd value would make this endpoint, or all the others, look idle for a long time.
+        let value = value.as_f64().filter(|value| (0.0..=MAX_VALUE).contains(value))?;
+        field.set(&mut report, value);
     }
     Some(report)
 }
