--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -1,4 +1,4 @@
-//! `capacity`: measures fleets at several sizes and works out `docs/CAPACITY.md` from the results.
+//! `capacity`: measures fleets of several sizes and generates part of `docs/CAPACITY.md` from the results.
 
 mod measure;
 mod module;
@@ -15,60 +15,60 @@
 
 #[derive(Subcommand)]
 pub enum Capacity {
-    /// Play fleets of several sizes and write what they cost as JSON.
+    /// Run fleets of several sizes on the virtual clock and write their resource use as JSON.
     Measure {
-        /// Sizes, separated by commas.
+        /// Numbers of members, separated by commas.
         #[arg(long, value_delimiter = ',', required = true, value_parser = clap::value_parser!(u16).range(1..=4000))]
         sizes: Vec<u16>,
-        /// Seeds, as A..B (both are played).
-        #[arg(long, value_parser = crate::seeds, default_value = "1..3")]
+        /// Range of seeds as A..B, both included.
+        #[arg(long, value_parser = crate::parse_seeds, default_value = "1..3")]
         seeds: RangeInclusive<u64>,
-        /// Moments, separated by commas; all if none is given.
-        #[arg(long, value_delimiter = ',', value_parser = moment)]
+        /// Moments, separated by commas; all by default.
+        #[arg(long, value_delimiter = ',', value_parser = parse_moment)]
         moments: Vec<Moment>,
-        /// The folder of their scripts.
+        /// Directory with a script for each moment.
         #[arg(long, default_value = "docs/capacity/scripts", value_name = "DIR")]
         scripts: PathBuf,
-        /// Fleets played side by side.
+        /// Number of fleets run in parallel.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=16))]
         jobs: u16,
-        /// The data file; what it holds already of the same moment, size and seed is replaced.
+        /// Data file; existing records of the same moment, size and seed are replaced, all others are kept.
         #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Take the figures of the module's benchmarks `list` and `list_memory` into a data file.
+    /// Write the results of the module's benchmarks `list` and `list_memory` to a data file.
     Module {
-        /// The folder that criterion writes to.
+        /// Output directory of criterion.
         #[arg(long, default_value = "target/criterion", value_name = "DIR")]
         criterion: PathBuf,
-        /// What `list_memory` has printed.
+        /// File with the output of `list_memory`.
         #[arg(long, value_name = "FILE")]
         heap: PathBuf,
-        /// The data file.
+        /// Data file; it is overwritten.
         #[arg(long, default_value = "docs/capacity/module.json", value_name = "FILE")]
         out: PathBuf,
     },
-    /// Write the generated part of the page.
+    /// Update the generated part of the page.
     Page {
-        /// The target file.
+        /// Target file.
         #[arg(long, default_value = "docs/capacity/target.toml", value_name = "FILE")]
         target: PathBuf,
-        /// The folder whose `*.json` files hold the data.
+        /// Directory whose `*.json` files hold the data.
         #[arg(long, default_value = "docs/capacity", value_name = "DIR")]
         data: PathBuf,
-        /// The page.
+        /// Page to update.
         #[arg(long, default_value = "docs/CAPACITY.md", value_name = "FILE")]
         page: PathBuf,
-        /// Change nothing; exit code 1 if the page is not what target and data come to.
+        /// Only check; exit code 1 if the page differs from what target and data generate.
         #[arg(long)]
         check: bool,
     },
 }
 
-fn moment(text: &str) -> Result<Moment, String> {
+fn parse_moment(text: &str) -> Result<Moment, String> {
     let names: Vec<&str> = Moment::ALL.iter().map(|moment| moment.name()).collect();
-    let found = Moment::ALL.into_iter().find(|moment| moment.name() == text);
-    found.ok_or_else(|| format!("the moments are {}", names.join(", ")))
+    let known = Moment::ALL.into_iter().find(|moment| moment.name() == text);
+    known.ok_or_else(|| format!("the moments are {}", names.join(", ")))
 }
 
 pub fn run(command: Capacity) -> Result<ExitCode, Box<dyn Error>> {
@@ -81,9 +81,9 @@
                 moments,
                 jobs: usize::from(jobs),
             };
-            let known = if out.exists() { read_data(&out)? } else { Dataset::default() };
+            let existing = if out.exists() { read_data(&out)? } else { Dataset::default() };
             let measured = measure::run(&request, &scripts)?;
-            write_data(&out, with_replaced(known, measured))?;
+            write_data(&out, merge_records(existing, measured))?;
             Ok(ExitCode::SUCCESS)
         }
         Capacity::Module { criterion, heap, out } => {
@@ -92,19 +92,19 @@
             Ok(ExitCode::SUCCESS)
         }
         Capacity::Page { target, data, page, check } => {
-            let written = read(&page)?;
-            let generated = page::render(&read_target(&target)?, &read_folder(&data)?);
-            let wanted =
-                page::replace(&written, &generated).map_err(|e| format!("{}: {e}", page.display()))?;
-            if check && wanted != written {
+            let current = read(&page)?;
+            let generated = page::render(&read_target(&target)?, &read_directory(&data)?);
+            let updated =
+                page::replace(&current, &generated).map_err(|e| format!("{}: {e}", page.display()))?;
+            if check && updated != current {
                 eprintln!(
-                    "{}: not what target and data come to; run `cometcroft-lab capacity page`",
+                    "{}: differs from what target and data generate; run `cometcroft-lab capacity page`",
                     page.display()
                 );
                 return Ok(ExitCode::FAILURE);
             }
             if !check {
-                std::fs::write(&page, wanted).map_err(|e| format!("{}: {e}", page.display()))?;
+                std::fs::write(&page, updated).map_err(|e| format!("{}: {e}", page.display()))?;
             }
             Ok(ExitCode::SUCCESS)
         }
@@ -123,30 +123,32 @@
     Ok(Dataset::parse(&read(path)?, &path.display().to_string())?)
 }
 
-/// All data files of a folder, in the order of their names.
-fn read_folder(folder: &Path) -> Result<Dataset, Box<dyn Error>> {
-    let entries = std::fs::read_dir(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let paths = entries.map(|entry| entry.map(|it| it.path())).collect::<Result<Vec<_>, _>>()?;
-    let mut files: Vec<PathBuf> =
-        paths.into_iter().filter(|path| path.extension().is_some_and(|it| it == "json")).collect();
+/// Reads and merges all data files of a directory, in the order of their names.
+fn read_directory(directory: &Path) -> Result<Dataset, Box<dyn Error>> {
+    let entries = std::fs::read_dir(directory).map_err(|e| format!("{}: {e}", directory.display()))?;
+    let paths = entries.map(|entry| entry.map(|entry| entry.path())).collect::<Result<Vec<_>, _>>()?;
+    let mut files: Vec<PathBuf> = paths
+        .into_iter()
+        .filter(|path| path.extension().is_some_and(|extension| extension == "json"))
+        .collect();
     files.sort();
-    let mut all = Dataset::default();
+    let mut merged = Dataset::default();
     for file in files {
-        all.merge(read_data(&file)?);
+        merged.merge(read_data(&file)?);
     }
-    all.sort();
-    Ok(all)
+    merged.sort();
+    Ok(merged)
 }
 
-/// The known records, and the new ones in place of those of the same run.
-fn with_replaced(mut known: Dataset, measured: Dataset) -> Dataset {
-    known.fleets.retain(|old| {
+/// Adds the measured records to the existing ones. They replace records of the same moment, size and seed.
+fn merge_records(mut existing: Dataset, measured: Dataset) -> Dataset {
+    existing.fleets.retain(|old| {
         let key = (old.moment, old.members, old.seed);
         measured.fleets.iter().all(|new| (new.moment, new.members, new.seed) != key)
     });
-    known.merge(measured);
-    known.sort();
-    known
+    existing.merge(measured);
+    existing.sort();
+    existing
 }
 
 fn write_data(path: &Path, dataset: Dataset) -> Result<(), Box<dyn Error>> {
--- a/crates/lab/src/capacity/measure.rs
+++ b/crates/lab/src/capacity/measure.rs
@@ -1,4 +1,4 @@
-//! Plays the moments' scripts at several sizes, several fleets side by side.
+//! Runs the scripts of the moments at several fleet sizes, several fleets in parallel.
 
 use super::record;
 use cometcroft_capacity::data::{Dataset, FleetRecord, Moment};
@@ -11,19 +11,19 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// What is to be measured.
+/// Fleets to measure: every combination of size, moment and seed.
 pub struct Request {
-    /// Members of the fleets.
+    /// Numbers of members.
     pub sizes: Vec<usize>,
-    /// Seeds of each.
+    /// Seeds of each combination of size and moment.
     pub seeds: RangeInclusive<u64>,
-    /// What they go through.
+    /// Moments whose scripts the fleets run.
     pub moments: Vec<Moment>,
-    /// Fleets side by side.
+    /// Number of fleets run in parallel.
     pub jobs: usize,
 }
 
-/// One fleet to be played.
+/// The run of one fleet.
 struct Job<'a> {
     moment: Moment,
     script: &'a Script,
@@ -31,9 +31,9 @@
     seed: u64,
 }
 
-/// Plays all fleets of a request, with the scripts of this folder.
-pub fn run(request: &Request, folder: &Path) -> Result<Dataset, Box<dyn Error>> {
-    let scripts = request.moments.iter().map(|moment| script(folder, *moment));
+/// Runs all fleets of a request, with the scripts in `directory`.
+pub fn run(request: &Request, directory: &Path) -> Result<Dataset, Box<dyn Error>> {
+    let scripts = request.moments.iter().map(|moment| load_script(directory, *moment));
     let scripts: Vec<(Moment, Script)> = scripts.collect::<Result<_, Box<dyn Error>>>()?;
     let jobs = jobs(request, &scripts);
     let (next, records) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
@@ -41,8 +41,8 @@
         for _ in 0..request.jobs {
             scope.spawn(|| {
                 while let Some(job) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let record = play(job);
-                    eprintln!("{} of {} members, seed {}: played", job.moment, job.members, job.seed);
+                    let record = run_job(job);
+                    eprintln!("{} of {} members, seed {}: finished", job.moment, job.members, job.seed);
                     records.lock().unwrap_or_else(PoisonError::into_inner).push(record);
                 }
             });
@@ -54,13 +54,13 @@
     Ok(dataset)
 }
 
-fn script(folder: &Path, moment: Moment) -> Result<(Moment, Script), Box<dyn Error>> {
-    let path = folder.join(format!("{}.toml", moment.name()));
+fn load_script(directory: &Path, moment: Moment) -> Result<(Moment, Script), Box<dyn Error>> {
+    let path = directory.join(format!("{}.toml", moment.name()));
     let script = Script::find(&path.to_string_lossy())?;
     Ok((moment, script))
 }
 
-/// All fleets of a request, the small ones first.
+/// Returns the runs of all fleets of a request, in the order of the given sizes.
 fn jobs<'a>(request: &Request, scripts: &'a [(Moment, Script)]) -> Vec<Job<'a>> {
     let mut jobs = Vec::new();
     for &members in &request.sizes {
@@ -73,8 +73,8 @@
     jobs
 }
 
-fn play(job: &Job) -> FleetRecord {
+fn run_job(job: &Job) -> FleetRecord {
     let plan = Plan::draw(job.script, job.seed, Some(job.members));
     let report = FleetRun::new(plan, Features::default()).play(false);
-    record::of(job.moment, &report)
+    record::from_report(job.moment, &report)
 }
--- a/crates/lab/src/chart.rs
+++ b/crates/lab/src/chart.rs
@@ -1,24 +1,25 @@
-//! Charts as SVG.
+//! SVG charts of fleet runs.
 
 use cometcroft_rig::RigShare;
 use plotters::prelude::*;
 use std::error::Error;
 use std::path::Path;
 
-/// The sum of the parts of a shared budget and what the backend servers received, against the whole.
-pub fn shared(path: &Path, title: &str, share: &RigShare) -> Result<(), Box<dyn Error>> {
-    let last = share.line.last().map_or(1.0, |(at, ..)| at.max(1.0));
-    // What was received is told about four times a second; a mean over a second is what the rate means.
-    let received: Vec<(f64, f64)> = share
+/// Draws the sum of the shares of a budget and the request rate that the endpoints received, against the limit.
+pub fn draw_budget(path: &Path, title: &str, budget: &RigShare) -> Result<(), Box<dyn Error>> {
+    let end = budget.line.last().map_or(1.0, |(at, ..)| at.max(1.0));
+    // The receive rate is sampled about four times a second. Average it over one second, as the limit is a rate per
+    // second.
+    let received: Vec<(f64, f64)> = budget
         .line
         .iter()
         .map(|(at, ..)| {
-            let of: Vec<f64> =
-                share.line.iter().filter(|l| (l.0 - at).abs() <= 0.5).map(|(.., rate)| *rate).collect();
-            (*at, of.iter().sum::<f64>() / of.len().max(1) as f64)
+            let rates: Vec<f64> =
+                budget.line.iter().filter(|l| (l.0 - at).abs() <= 0.5).map(|(.., rate)| *rate).collect();
+            (*at, rates.iter().sum::<f64>() / rates.len().max(1) as f64)
         })
         .collect();
-    let top = received.iter().map(|(_, rate)| *rate).fold(share.whole, f64::max) * 1.2;
+    let top = received.iter().map(|(_, rate)| *rate).fold(budget.whole, f64::max) * 1.2;
     let area = SVGBackend::new(path, (960, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -26,17 +27,17 @@
         .margin(12)
         .x_label_area_size(38)
         .y_label_area_size(56)
-        .build_cartesian_2d(0.0..last, 0.0..top)?;
+        .build_cartesian_2d(0.0..end, 0.0..top)?;
     chart.configure_mesh().x_desc("seconds").y_desc("a second").light_line_style(WHITE).draw()?;
-    let whole = vec![(0.0, share.whole), (last, share.whole)];
+    let limit = vec![(0.0, budget.whole), (end, budget.whole)];
     chart
-        .draw_series(LineSeries::new(whole, BLACK.stroke_width(2)))?
+        .draw_series(LineSeries::new(limit, BLACK.stroke_width(2)))?
         .label("the whole")
         .legend(|(x, y)| PathElement::new(vec![(x, y), (x + 18, y)], BLACK.stroke_width(2)));
-    let parts = share.line.iter().map(|(at, parts, _)| (*at, *parts));
-    // Dashes tell the lines apart on a printer of one colour, too.
+    let shares = budget.line.iter().map(|(at, sum, _)| (*at, *sum));
+    // The dashes keep the lines distinguishable in black-and-white print.
     chart
-        .draw_series(DashedLineSeries::new(parts, 6, 4, BLUE.stroke_width(2)))?
+        .draw_series(DashedLineSeries::new(shares, 6, 4, BLUE.stroke_width(2)))?
         .label("sum of the parts, as told")
         .legend(|(x, y)| PathElement::new(vec![(x, y), (x + 8, y)], BLUE.stroke_width(2)));
     chart
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `cometcroft-lab`: the command round the emulator and the rig.
+//! `cometcroft-lab`: command line of the emulator and of the rig that runs fleet scripts on real processes.
 #![forbid(unsafe_code)]
 
 mod capacity;
@@ -18,7 +18,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Plays whole sidecars on a seeded virtual clock and checks their rules after every step.
+/// Runs complete sidecars on a seeded virtual clock and checks their invariants after every step.
 #[derive(Parser)]
 #[command(name = "cometcroft-lab", version)]
 struct Cli {
@@ -26,114 +26,119 @@
     command: Command,
 }
 
+/// Options that select the run of a scenario.
 #[derive(clap::Args)]
-struct Which {
-    /// A shipped scenario's name (see `scenarios`) or a file.
+struct RunArgs {
+    /// Name of a shipped scenario (see `scenarios`), or a file.
     scenario: String,
-    /// Play the day in so many virtual seconds, its faults drawn together as far.
-    #[arg(long, value_name = "SECONDS", value_parser = positive)]
+    /// Shorten the run to this many virtual seconds; its faults move closer together in proportion.
+    #[arg(long, value_name = "SECONDS", value_parser = parse_positive)]
     short: Option<f64>,
-    /// Plant a defect into the first tier's sidecars.
-    #[arg(long, value_parser = defect)]
+    /// Inject a defect into the sidecars of the first tier.
+    #[arg(long, value_parser = parse_defect)]
     defect: Option<Defect>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play one day and print what became of its requests.
+    /// Run a scenario and print the outcome of its requests.
     Play {
         #[command(flatten)]
-        which: Which,
-        /// The seed; if not given, the one that the scenario names, or 1.
+        args: RunArgs,
+        /// Seed; the scenario's own by default, or 1 if it has none.
         #[arg(long)]
         seed: Option<u64>,
         /// Print the report as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Play a day again with its event log, up to a step.
+    /// Repeat a run and print its event log, up to a given step.
     Replay {
         #[command(flatten)]
-        which: Which,
-        /// The seed; if not given, the one that the scenario names, or 1.
+        args: RunArgs,
+        /// Seed; the scenario's own by default, or 1 if it has none.
         #[arg(long)]
         seed: Option<u64>,
         /// Stop after this step.
         #[arg(long, value_name = "STEP")]
         until: Option<u64>,
-        /// Print only from this step on.
+        /// Print only events from this step on.
         #[arg(long, value_name = "STEP", default_value_t = 0)]
         from: u64,
     },
-    /// Play many seeds; exit code 1 if a rule was broken on any.
+    /// Run many seeds; exit code 1 if any of them violates an invariant.
     Swarm {
-        /// Scenarios; `all` for every shipped one.
+        /// Names of shipped scenarios or files; `all` for every shipped scenario.
         #[arg(required = true)]
         scenarios: Vec<String>,
-        /// Seeds, as A..B (both are played).
-        #[arg(long, value_parser = seeds)]
+        /// Range of seeds as A..B, both included.
+        #[arg(long, value_parser = parse_seeds)]
         seeds: RangeInclusive<u64>,
-        /// Days played side by side.
+        /// Number of runs in parallel.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=256))]
         jobs: u16,
-        /// Play each day in so many virtual seconds.
-        #[arg(long, value_name = "SECONDS", value_parser = positive)]
+        /// Shorten each run to this many virtual seconds.
+        #[arg(long, value_name = "SECONDS", value_parser = parse_positive)]
         short: Option<f64>,
-        /// Plant a defect.
-        #[arg(long, value_parser = defect)]
+        /// Inject a defect into the sidecars of the first tier.
+        #[arg(long, value_parser = parse_defect)]
         defect: Option<Defect>,
         /// Stop at the first failing seed.
         #[arg(long)]
         first: bool,
     },
-    /// Take a failing seed to the smallest fault script that still breaks the same rule.
+    /// Minimise the faults of a failing seed to a script that still violates the same invariant.
     Shrink {
         #[command(flatten)]
-        which: Which,
+        args: RunArgs,
         /// The failing seed.
         #[arg(long)]
         seed: u64,
-        /// Write the script there as a scenario.
+        /// File to write the minimised scenario to.
         #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Fleets under scripts of faults: on the virtual clock, and on real processes.
+    /// Run fleets under fault scripts, on the virtual clock or on real processes.
     Fleet {
         #[command(subcommand)]
         command: fleet::Fleet,
     },
-    /// What a fleet of the target size needs: measured at several sizes, and the page that follows.
+    /// Measure fleets of several sizes and generate the page on the needs of the target size.
     Capacity {
         #[command(subcommand)]
         command: capacity::Capacity,
     },
     /// List the shipped scenarios, or print one.
     Scenarios {
-        /// The one to print.
+        /// Scenario to print.
         name: Option<String>,
     },
 }
 
-fn defect(text: &str) -> Result<Defect, String> {
+fn parse_defect(text: &str) -> Result<Defect, String> {
     let names: Vec<String> = Defect::ALL.iter().map(|d| d.name()).collect();
-    let at = names.iter().position(|name| name == text);
-    at.map(|at| Defect::ALL[at]).ok_or_else(|| format!("the defects are {}", names.join(", ")))
+    let index = names.iter().position(|name| name == text);
+    index.map(|index| Defect::ALL[index]).ok_or_else(|| format!("the defects are {}", names.join(", ")))
 }
 
-fn positive(text: &str) -> Result<f64, String> {
-    let value: f64 = text.parse().map_err(|_| format!("{text:?} is no number"))?;
+fn parse_positive(text: &str) -> Result<f64, String> {
+    let value: f64 = text.parse().map_err(|_| format!("{text:?} is not a number"))?;
     if value.is_finite() && value > 0.0 { Ok(value) } else { Err("must be positive".into()) }
 }
 
-pub(crate) fn seeds(text: &str) -> Result<RangeInclusive<u64>, String> {
+pub(crate) fn parse_seeds(text: &str) -> Result<RangeInclusive<u64>, String> {
     let (from, to) = text.split_once("..").ok_or("seeds are written as A..B")?;
-    let number = |t: &str| t.parse::<u64>().map_err(|_| format!("{t:?} is no seed"));
+    let number = |t: &str| t.parse::<u64>().map_err(|_| format!("{t:?} is not a seed"));
     let (from, to) = (number(from)?, number(to.trim_start_matches('='))?);
-    if from <= to { Ok(from..=to) } else { Err("the range runs backwards".into()) }
+    if from <= to {
+        Ok(from..=to)
+    } else {
+        Err("the first seed of the range is greater than the last".into())
+    }
 }
 
-/// A scenario as the command line asks for it.
-pub(crate) fn scenario(name: &str, short: Option<f64>) -> Result<Scenario, ScenarioError> {
+/// Loads a scenario by name or file, shortened to `short` virtual seconds if given.
+pub(crate) fn load_scenario(name: &str, short: Option<f64>) -> Result<Scenario, ScenarioError> {
     let scenario = Scenario::find(name)?;
     Ok(match short {
         Some(seconds) => scenario.shortened(seconds),
@@ -141,19 +146,19 @@
     })
 }
 
-impl Which {
-    fn scenario(&self) -> Result<Scenario, ScenarioError> {
-        scenario(&self.scenario, self.short)
+impl RunArgs {
+    fn load_scenario(&self) -> Result<Scenario, ScenarioError> {
+        load_scenario(&self.scenario, self.short)
     }
 
-    fn day(&self, seed: Option<u64>) -> Result<Day, ScenarioError> {
-        let scenario = self.scenario()?;
+    fn draw_run(&self, seed: Option<u64>) -> Result<Day, ScenarioError> {
+        let scenario = self.load_scenario()?;
         let seed = seed.or(scenario.day.seed).unwrap_or(1);
         Ok(Day::draw(&scenario, seed))
     }
 }
 
-fn verdict(report: &Report) -> ExitCode {
+fn exit_code(report: &Report) -> ExitCode {
     if report.broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
@@ -169,26 +174,26 @@
 
 fn run(command: Command) -> Result<ExitCode, Box<dyn std::error::Error>> {
     match command {
-        Command::Play { which, seed, json } => {
-            let report = Emulator::new(which.day(seed)?, which.defect).play(false);
+        Command::Play { args, seed, json } => {
+            let report = Emulator::new(args.draw_run(seed)?, args.defect).play(false);
             if json {
                 println!("{}", serde_json::to_string_pretty(&report)?);
             } else {
                 print!("{}", table::report(&report));
             }
-            Ok(verdict(&report))
+            Ok(exit_code(&report))
         }
-        Command::Replay { which, seed, until, from } => {
-            let mut emulator = Emulator::new(which.day(seed)?, which.defect);
-            emulator.trace(Box::new(move |step, at, what| {
+        Command::Replay { args, seed, until, from } => {
+            let mut emulator = Emulator::new(args.draw_run(seed)?, args.defect);
+            emulator.trace(Box::new(move |step, time_ns, event| {
                 if step >= from {
-                    println!("{step:>8}  {:>12.6} s  {what}", at as f64 / 1e9);
+                    println!("{step:>8}  {:>12.6} s  {event}", time_ns as f64 / 1e9);
                 }
             }));
             while until.is_none_or(|until| emulator.steps() < until) && emulator.step().is_some() {}
             let report = emulator.report();
-            print!("{}", table::broken(&report));
-            Ok(verdict(&report))
+            print!("{}", table::violations(&report));
+            Ok(exit_code(&report))
         }
         Command::Swarm { scenarios, seeds, jobs, short, defect, first } => {
             let all = scenarios.iter().any(|name| name == "all");
@@ -196,11 +201,11 @@
                 true => SHIPPED.iter().map(|(name, _)| (*name).to_owned()).collect(),
                 false => scenarios,
             };
-            let found = swarm::run(&names, seeds, usize::from(jobs), short, defect, first)?;
-            Ok(if found == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            let failure_count = swarm::run(&names, seeds, usize::from(jobs), short, defect, first)?;
+            Ok(if failure_count == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
         }
-        Command::Shrink { which, seed, out } => {
-            let text = shrink::run(&which.scenario()?, seed, which.defect)?;
+        Command::Shrink { args, seed, out } => {
+            let text = shrink::run(&args.load_scenario()?, seed, args.defect)?;
             std::fs::write(&out, text).map_err(|e| format!("{}: {e}", out.display()))?;
             Ok(ExitCode::SUCCESS)
         }
@@ -208,7 +213,7 @@
         Command::Capacity { command } => capacity::run(command),
         Command::Scenarios { name: Some(name) } => {
             let text = SHIPPED.iter().chain(LARGE).find(|(shipped, _)| *shipped == name);
-            print!("{}", text.ok_or_else(|| format!("no scenario {name:?} comes with the program"))?.1);
+            print!("{}", text.ok_or_else(|| format!("{name:?} is not a shipped scenario"))?.1);
             Ok(ExitCode::SUCCESS)
         }
         Command::Scenarios { name: None } => {
