--- a/crates/emulator/src/agree.rs
+++ b/crates/emulator/src/agree.rs
@@ -3,7 +3,7 @@
 use crate::platform::Emulated;
 use cometcroft_consensus::Config;
 use cometcroft_plan::{Command, CommandOutcome, PermitState, PermitTarget};
-use cometcroft_script::{PlanLook, Say, Spoken};
+use cometcroft_script::{CommandKind, OperatorCommand, PlanStatus};
 use cometcroft_sidecar::plan_driver::{PlanDriver, PlanParts};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -21,20 +21,25 @@
 }
 
 /// Says a word at a member's door; the entry at which it was taken, or why not.
-pub async fn say<E: 'static>(plan_driver: Rc<PlanDriver<Emulated<E>>>, spoken: Spoken) -> Result<u64, String>
+pub async fn say<E: 'static>(
+    plan_driver: Rc<PlanDriver<Emulated<E>>>,
+    spoken: OperatorCommand,
+) -> Result<u64, String>
 where
     Emulated<E>: cometcroft_platform::Platform,
 {
-    let Spoken { say, id, text, number, server, waves } = spoken;
+    let OperatorCommand { say, id, text, number, server, waves } = spoken;
     let word = match say {
-        Say::Refound => return plan_driver.bootstrap().await.map_err(|failure| failure.code().to_owned()),
-        Say::Propose => Command::Propose { text },
-        Say::Rollback => Command::RollBackTo { revision: number },
-        Say::Release => Command::Release { text, waves },
-        Say::Halt => Command::Halt,
-        Say::Resume => Command::Resume,
-        Say::Back => Command::RollBackRelease,
-        Say::Drain => {
+        CommandKind::Refound => {
+            return plan_driver.bootstrap().await.map_err(|failure| failure.code().to_owned());
+        }
+        CommandKind::Propose => Command::Propose { text },
+        CommandKind::Rollback => Command::RollBackTo { revision: number },
+        CommandKind::Release => Command::Release { text, waves },
+        CommandKind::Halt => Command::Halt,
+        CommandKind::Resume => Command::Resume,
+        CommandKind::Back => Command::RollBackRelease,
+        CommandKind::Drain => {
             let tier = plan_driver.tier();
             Command::RequestPermit {
                 target: PermitTarget::Endpoint(server),
@@ -43,12 +48,12 @@
                 overdue_after_s: 60,
             }
         }
-        Say::Restart => {
+        CommandKind::Restart => {
             let (what, zone, tier) = plan_driver.own_permit_target();
             Command::RequestPermit { target: what, zone, tier, overdue_after_s: 60 }
         }
-        Say::Return => Command::ReturnPermit { permit: number },
-        Say::Force => Command::ForceClear { permit: number },
+        CommandKind::Return => Command::ReturnPermit { permit: number },
+        CommandKind::Force => Command::ForceClear { permit: number },
     };
     match plan_driver.propose(word, "script", None, Some(id)).await {
         Ok(CommandOutcome::Applied { index, .. }) => Ok(index),
@@ -58,14 +63,14 @@
 }
 
 /// Where a member's plan stands.
-pub fn look<P: cometcroft_platform::Platform>(plan_driver: &PlanDriver<P>) -> PlanLook {
+pub fn look<P: cometcroft_platform::Platform>(plan_driver: &PlanDriver<P>) -> PlanStatus {
     let (in_force, leads) = (plan_driver.in_force(), plan_driver.has_leader());
     plan_driver.with_log(|log| {
         let (place, plan) = (log.position(), log.machine());
         let permits = plan.permits().values();
         let clear = permits.clone().filter(|it| matches!(it.state, PermitState::Clear { .. }));
         let waved = plan.release().map(|_| plan.last_wave_index());
-        PlanLook {
+        PlanStatus {
             place: (place.bootstrap_id, place.index),
             sum: format!("{:016x}", place.sum),
             in_force,
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -11,7 +11,8 @@
 use cometcroft_membership::{Config, Features, Name, State, Timing};
 use cometcroft_platform::Platform;
 use cometcroft_script::{
-    Broken, BudgetPlan, Doing, Judge, Look, Other, Plan, PlanLook, Say, Wires, same_plans,
+    Action, BudgetPlan, Checker, CommandKind, LinkFaults, MemberView, Plan, PlanStatus, SettingsOverride,
+    Violation, check_plans_agree,
 };
 use cometcroft_sidecar::fleet::{Fleet, FleetParts};
 use rustc_hash::FxHashMap;
@@ -54,7 +55,7 @@
     busy: u32,
     /// A pause of the script goes on.
     paused: bool,
-    other: Other,
+    other: SettingsOverride,
     started: Nanos,
     lived: Nanos,
     sent: (u64, u64),
@@ -94,16 +95,16 @@
     /// What it cost each member, by role and kind of traffic.
     pub cost: Option<CostReport>,
     /// Rules that were broken.
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
 }
 
 /// A fleet being played.
 pub struct FleetRun {
     plan: Plan,
     kernel: Rc<World>,
-    judge: Judge,
+    judge: Checker,
     seats: Vec<Seat>,
-    wires: Wires,
+    wires: LinkFaults,
     changes: Changes,
     parts: Features,
     dice: Dice,
@@ -132,7 +133,7 @@
 }
 
 /// What came of words: which, at which founding of the log, the entry or the reason.
-type Answers = Rc<RefCell<Vec<(Say, u64, Result<u64, String>)>>>;
+type Answers = Rc<RefCell<Vec<(CommandKind, u64, Result<u64, String>)>>>;
 
 /// What a plan came to.
 #[derive(Debug, Clone, Default, Serialize)]
@@ -200,7 +201,7 @@
             garbage: 0,
             busy: 0,
             paused: false,
-            other: Other::default(),
+            other: SettingsOverride::default(),
             started: 0,
             lived: 0,
             sent: (0, 0),
@@ -221,11 +222,11 @@
         kernel.world_at(100 * MS, Event::Equal);
         kernel.world_at(100 * MS, Event::Look);
         FleetRun {
-            judge: Judge::new(&plan, 1.0),
+            judge: Checker::new(&plan, 1.0),
             dice: Dice::new(plan.seed, "fleet"),
             kernel,
             seats,
-            wires: Wires::default(),
+            wires: LinkFaults::default(),
             changes: Changes::default(),
             parts,
             deaths: Vec::new(),
@@ -275,7 +276,7 @@
             self.hear();
             self.hear_answers();
             self.share();
-            if stop && !self.judge.broken.is_empty() {
+            if stop && !self.judge.violations.is_empty() {
                 break;
             }
         }
@@ -289,7 +290,7 @@
     }
 
     /// Who runs, with where its plan stands.
-    fn plans(&self) -> Vec<(usize, PlanLook)> {
+    fn plans(&self) -> Vec<(usize, PlanStatus)> {
         let runs = |(i, seat): (usize, &Seat)| {
             let (_, fleet) = seat.process.as_ref().filter(|(pid, _)| !self.kernel.stopped(*pid))?;
             Some((i, agree::look(fleet.plan()?)))
@@ -302,7 +303,7 @@
         let now = time(self.kernel.now());
         if now >= self.plan.quiet_from + Duration::from_secs(6) {
             let plans = self.plans();
-            self.judge.plans(now, &plans);
+            self.judge.check_plans(now, &plans);
         }
         self.agreed.equal_s = self
             .agreed_since
@@ -319,8 +320,8 @@
         for (i, seat) in self.seats.iter().enumerate() {
             let worst = self.kernel.with_net(|net| net.costs().map(|costs| costs.worst_windows(seat.host)));
             let (whole, steady) = worst.unwrap_or_default();
-            self.judge.window(now, i, "at some time", whole, limits.window_bytes);
-            self.judge.window(now, i, "of the steady period", steady, limits.steady_window_bytes);
+            self.judge.check_traffic(now, i, "at some time", whole, limits.window_bytes);
+            self.judge.check_traffic(now, i, "of the steady period", steady, limits.steady_window_bytes);
         }
     }
 
@@ -333,7 +334,7 @@
             match taken {
                 Ok(index) => {
                     self.agreed.taken += 1;
-                    self.judge.acknowledged(founding, index, say);
+                    self.judge.record_acknowledgement(founding, index, say);
                 }
                 Err(code) if code == "log.unknown" => self.agreed.unknown += 1,
                 Err(code) => *self.agreed.refused.entry(code).or_default() += 1,
@@ -356,7 +357,7 @@
             if let Some(budget_driver) = budget_driver.filter(|_| !young) {
                 let answered = budget_driver
                     .with_budget(|budget, own| budget.core().has_allocator(budget.config(), own));
-                self.judge.divided(now, i, answered);
+                self.judge.check_allocation(now, i, answered);
             }
         }
     }
@@ -366,8 +367,8 @@
         match event {
             Event::Act(i) => {
                 let act = self.plan.acts[i].clone();
-                self.judge.done(time(now), &act.doing, act.line);
-                self.act(act.doing);
+                self.judge.record_action(time(now), &act.action, act.line);
+                self.act(act.action);
             }
             Event::End(i, life) => {
                 if self.seats[i].life == life {
@@ -377,7 +378,7 @@
             Event::Look => {
                 for i in 0..self.seats.len() {
                     if let Some(look) = self.look(i) {
-                        self.judge.look(time(now), i, &look);
+                        self.judge.check_view(time(now), i, &look);
                     }
                 }
                 let wait = 200 * MS * (1 + self.seats.len() as u64 / 50);
@@ -434,51 +435,51 @@
         }
     }
 
-    fn act(&mut self, doing: Doing) {
+    fn act(&mut self, doing: Action) {
         let now = self.kernel.now();
         match doing {
-            Doing::Start(i) => self.start(i),
-            Doing::Stop(i) => {
+            Action::Start(i) => self.start(i),
+            Action::Stop(i) => {
                 self.seats[i].paused = true;
                 if let Some((pid, _)) = &self.seats[i].process {
                     self.kernel.stop(*pid);
                 }
             }
-            Doing::GoOn(i) => {
+            Action::Continue(i) => {
                 self.seats[i].paused = false;
                 if let Some((pid, _)) = &self.seats[i].process {
                     self.kernel.go_on(*pid);
                 }
             }
-            Doing::Kill(i) => {
+            Action::Kill(i) => {
                 self.died(i);
                 self.end(i);
             }
-            Doing::Terminate(i) => {
+            Action::Terminate(i) => {
                 self.died(i);
                 if let Some((_, fleet)) = &self.seats[i].process {
                     fleet.leave();
                 }
                 self.kernel.world_at(now + 2 * SEC, Event::End(i, self.seats[i].life));
             }
-            Doing::Wire(fault, from, to, wire) => {
+            Action::LinkFault(fault, from, to, wire) => {
                 let FleetRun { wires, kernel, seats, .. } = self;
                 wires.put(fault, (&from, &to), wire, |a, b, all| {
                     kernel.with_net(|net| net.wire(seats[a].host, seats[b].host, all));
                 });
             }
-            Doing::Busy(i, loops) => {
+            Action::Busy(i, loops) => {
                 self.seats[i].busy = loops;
                 self.kernel.world_at(now, Event::Slice(i, loops));
             }
-            Doing::Descriptors(i, most) => {
+            Action::Descriptors(i, most) => {
                 if let Some((pid, _)) = &self.seats[i].process {
                     let most = if most == 0 { DESCRIPTORS } else { most as usize };
                     self.kernel.with_net(|net| net.limit(*pid, most));
                 }
             }
-            Doing::File(i, other) => self.seats[i].other = other,
-            Doing::Say(i, spoken) => {
+            Action::ChangeSettings(i, other) => self.seats[i].other = other,
+            Action::Command(i, spoken) => {
                 let Some((pid, fleet)) = &self.seats[i].process else { return };
                 let Some(plan_driver) = fleet.plan().cloned() else { return };
                 let (answers, asked) = (self.answers.clone(), plan_driver.clone());
@@ -489,7 +490,7 @@
                     answers.borrow_mut().push((said, founding, taken));
                 });
             }
-            Doing::Garbage(i, rate) => {
+            Action::Garbage(i, rate) => {
                 self.seats[i].garbage = rate;
                 self.kernel.world_at(now, Event::Garbage(i, rate));
             }
@@ -546,7 +547,7 @@
         };
         let seed = Dice::new(self.plan.seed, &format!("{} {i} life {}", seat.name, seat.life)).bits();
         let (fleet, listener) = Fleet::new(platform.clone(), parts, self.plan.first as u32, seed);
-        self.judge.known(i, fleet.with_membership(|machine| machine.local_record().generation));
+        self.judge.set_generation(i, fleet.with_membership(|machine| machine.local_record().generation));
         seat.origin = Some(platform.now());
         let running = fleet.clone();
         self.kernel.spawn(pid, running.run(listener));
@@ -604,7 +605,7 @@
         }
     }
 
-    fn look(&self, i: usize) -> Option<Look> {
+    fn look(&self, i: usize) -> Option<MemberView> {
         let (pid, fleet) = self.seats[i].process.as_ref()?;
         if self.kernel.stopped(*pid) {
             return None;
@@ -612,7 +613,7 @@
         let at_work = fleet.sidecar_count();
         Some(fleet.with_membership(|machine| {
             let (reached, known) = machine.reach();
-            Look {
+            MemberView {
                 generation: machine.local_record().generation,
                 who: machine
                     .present_members()
@@ -646,7 +647,7 @@
         let now = self.kernel.now();
         for (observer, name, generation, _, to) in changes {
             let gone = to == State::Dead;
-            self.judge.changed(time(now), observer, name.as_str(), generation, gone);
+            self.judge.record_state_change(time(now), observer, name.as_str(), generation, gone);
             if to == State::Alive {
                 continue;
             }
@@ -725,7 +726,7 @@
             }
             self.entries.remove(0);
         }
-        match same_plans(&plans) {
+        match check_plans_agree(&plans) {
             Ok(()) => self.agreed_since = self.agreed_since.or(Some(now)),
             Err(_) => self.agreed_since = None,
         }
@@ -747,7 +748,7 @@
                 self.sharing.open.push((spent.seat, spent.ends));
                 continue;
             }
-            self.judge.admitted(time(spent.at), Duration::ZERO);
+            self.judge.record_admission(time(spent.at), Duration::ZERO);
             self.sharing.admitted += 1;
             self.sharing.follow.had(spent.seat, spent.at);
             if spent.at >= started {
@@ -781,9 +782,9 @@
             places += place.max(*out);
         }
         self.sharing.most = self.sharing.most.max(parts as f64 / 1000.0 / rate);
-        self.judge.parts(time(now), "parts of the rate", parts as f64 / 1000.0, rate);
-        self.judge.parts(time(now), "parts of the level", places as f64 / 1000.0, f64::from(level));
-        self.judge.out(time(now), self.sharing.open.len() as u64, u64::from(level));
+        self.judge.check_shares(time(now), "parts of the rate", parts as f64 / 1000.0, rate);
+        self.judge.check_shares(time(now), "parts of the level", places as f64 / 1000.0, f64::from(level));
+        self.judge.check_concurrency(time(now), self.sharing.open.len() as u64, u64::from(level));
     }
 
     fn shared(&self, lived_s: f64) -> Option<ShareReport> {
@@ -840,7 +841,7 @@
             agreed: (self.plan.keepers > 0)
                 .then(|| AgreedReport { bytes_s: self.agreed.bytes_s / lived_s, ..self.agreed.clone() }),
             cost: self.cost(),
-            broken: self.judge.broken.clone(),
+            broken: self.judge.violations.clone(),
         }
     }
 
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -9,7 +9,7 @@
 use crate::dice::Dice;
 use crate::kernel::{Nanos, Pid};
 use bytes::{Bytes, BytesMut};
-use cometcroft_script::{NetworkPlan, Way, Wire};
+use cometcroft_script::{Link, LinkFault, NetworkPlan};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 use std::io;
@@ -270,7 +270,7 @@
     hosts: Vec<Host>,
     listeners: FxHashMap<SocketAddr, Listening>,
     sockets: FxHashMap<SocketAddr, Socket>,
-    wires: FxHashMap<(HostId, HostId), Wire>,
+    wires: FxHashMap<(HostId, HostId), LinkFault>,
     /// When a narrow way is free again.
     free: FxHashMap<(HostId, HostId), Nanos>,
     /// Datagrams and bytes that were sent, and that arrived at a socket.
@@ -331,7 +331,7 @@
     }
 
     /// Between hosts of different zones, if these belong to regions.
-    fn way(&self, from: HostId, to: HostId) -> Option<Way> {
+    fn way(&self, from: HostId, to: HostId) -> Option<Link> {
         if from == self.clients || to == self.clients {
             return None;
         }
@@ -451,8 +451,8 @@
     }
 
     /// From now on this is what becomes of what one machine sends another. None of it is told to either.
-    pub fn wire(&mut self, from: HostId, to: HostId, wire: Wire) {
-        if wire == Wire::default() {
+    pub fn wire(&mut self, from: HostId, to: HostId, wire: LinkFault) {
+        if wire == LinkFault::default() {
             self.wires.remove(&(from, to));
             self.free.remove(&(from, to));
         } else {
@@ -488,7 +488,7 @@
         self.count_datagram(host, Direction::Out, bytes);
         let Some(other) = self.sockets.get(&to).map(|socket| socket.host) else { return };
         let wire = match self.wires.is_empty() {
-            true => Wire::default(),
+            true => LinkFault::default(),
             false => self.wires.get(&(host, other)).copied().unwrap_or_default(),
         };
         if wire.cut || self.hosts[host.0 as usize].silent {
@@ -500,7 +500,7 @@
         }
         let mut bytes = Bytes::copy_from_slice(bytes);
         let mut copies = 1;
-        if wire != Wire::default() {
+        if wire != LinkFault::default() {
             let dice = &mut self.hosts[host.0 as usize].dice;
             if dice.chance(wire.loss) {
                 return;
--- a/crates/emulator/tests/budget.rs
+++ b/crates/emulator/tests/budget.rs
@@ -4,7 +4,7 @@
 use cometcroft_budget::Safeguards;
 use cometcroft_emulator::fleet::{FleetReport, FleetRun};
 use cometcroft_emulator::share::Divide;
-use cometcroft_script::{Plan, Rule, Script};
+use cometcroft_script::{Invariant, Plan, Script};
 
 fn play(script: &Script, seed: u64, divide: Divide, parts: Safeguards) -> FleetReport {
     let run = FleetRun::new(Plan::draw(script, seed, None), cometcroft_membership::Features::default());
@@ -31,7 +31,7 @@
     for seed in 1..=5 {
         let over = |divide| {
             let report = play(&script, seed, divide, Safeguards::default());
-            report.broken.iter().any(|broken| broken.rule == Rule::OverAdmitted)
+            report.broken.iter().any(|broken| broken.rule == Invariant::OverAdmitted)
         };
         assert!(over(Divide::View), "seed {seed}: both halves divide the whole by three");
         assert!(!over(Divide::Lease) && !over(Divide::Static), "seed {seed}");
@@ -73,7 +73,7 @@
         plant(&mut parts);
         let found = (1..=200).find(|&seed| {
             let report = play(&script, seed, Divide::Lease, parts);
-            report.broken.iter().any(|b| matches!(b.rule, Rule::OverWhole | Rule::OverAdmitted))
+            report.broken.iter().any(|b| matches!(b.rule, Invariant::OverWhole | Invariant::OverAdmitted))
         });
         println!("{what}: seed {found:?}");
         assert!(found.is_some(), "{what}: never over the whole");
--- a/crates/emulator/tests/cost.rs
+++ b/crates/emulator/tests/cost.rs
@@ -7,7 +7,7 @@
 use cometcroft_emulator::kernel::SEC;
 use cometcroft_emulator::net::HostId;
 use cometcroft_membership::Features;
-use cometcroft_script::{Plan, Rule, Script};
+use cometcroft_script::{Invariant, Plan, Script};
 
 fn play(script: &str, members: usize) -> FleetReport {
     let script = Script::find(script).expect("a shipped script");
@@ -122,7 +122,10 @@
     {
         let broken = limited(&format!("{limit} = 10")).broken;
         assert_eq!(broken.len(), 6, "each member breaks it once: {broken:?}");
-        assert!(broken.iter().all(|b| b.rule == Rule::OverBytes && b.what.contains(period)), "{broken:?}");
+        assert!(
+            broken.iter().all(|b| b.rule == Invariant::OverBytes && b.what.contains(period)),
+            "{broken:?}"
+        );
     }
     let bare = limited(&format!("steady_window_bytes = {}", steady - 1)).broken;
     assert_eq!(bare.len(), 1, "the worst member alone: {bare:?}");
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use cometcroft_emulator::fleet::{FleetReport, FleetRun};
 use cometcroft_membership::Features;
-use cometcroft_script::{Plan, Rule, SHIPPED, SIZED, Script};
+use cometcroft_script::{Invariant, Plan, SHIPPED, SIZED, Script};
 use cometcroft_tomlfile::Span;
 
 fn play(script: &str, seed: u64, members: Option<usize>, parts: Features) -> FleetReport {
@@ -41,18 +41,18 @@
 }
 
 /// A planted defect, a script that shows it, and the rule that it breaks.
-type Planted = (&'static str, fn(&mut Features), &'static str, Rule);
+type Planted = (&'static str, fn(&mut Features), &'static str, Invariant);
 
 const PLANTED: &[Planted] = &[
-    ("calls gone who is paused", |p| p.suspicion = false, "pauses", Rule::AliveCalledGone),
-    ("never denies that it is gone", |p| p.refutation = false, "third-paused", Rule::ViewsDiffer),
-    ("lets an old start win", |p| p.generation_order = false, "restarts", Rule::OldStartWins),
-    ("two of one name both speak", |p| p.generation_order = false, "twin", Rule::TwinSpeaks),
-    ("forgets the far side for ever", |p| p.reconnect = false, "split", Rule::ViewsDiffer),
-    ("counts a falling fleet at once", |p| p.delayed_decrease = false, "third-paused", Rule::CountFell),
-    ("views that never become equal", |p| p.anti_entropy = false, "one-seed-up", Rule::ViewsDiffer),
-    ("takes a word for the verdict", |p| p.local_suspicion = false, "mute", Rule::AliveCalledGone),
-    ("asks nobody to probe for it", |p| p.indirect_probes = false, "one-pair", Rule::AliveCalledGone),
+    ("calls gone who is paused", |p| p.suspicion = false, "pauses", Invariant::AliveCalledGone),
+    ("never denies that it is gone", |p| p.refutation = false, "third-paused", Invariant::ViewsDiffer),
+    ("lets an old start win", |p| p.generation_order = false, "restarts", Invariant::OldStartWins),
+    ("two of one name both speak", |p| p.generation_order = false, "twin", Invariant::TwinSpeaks),
+    ("forgets the far side for ever", |p| p.reconnect = false, "split", Invariant::ViewsDiffer),
+    ("counts a falling fleet at once", |p| p.delayed_decrease = false, "third-paused", Invariant::CountFell),
+    ("views that never become equal", |p| p.anti_entropy = false, "one-seed-up", Invariant::ViewsDiffer),
+    ("takes a word for the verdict", |p| p.local_suspicion = false, "mute", Invariant::AliveCalledGone),
+    ("asks nobody to probe for it", |p| p.indirect_probes = false, "one-pair", Invariant::AliveCalledGone),
 ];
 
 #[test]
@@ -77,7 +77,7 @@
         let seeds = [("pauses", 6), ("pauses", 37), ("pauses", 128), ("loss", 43)];
         seeds.map(|(script, seed)| {
             let report = play(script, seed, Some(12), parts);
-            report.broken.iter().any(|broken| broken.rule == Rule::AliveCalledGone)
+            report.broken.iter().any(|broken| broken.rule == Invariant::AliveCalledGone)
         })
     };
     assert_eq!(gone(Features::default()), [false; 4]);
--- a/crates/emulator/tests/plan.rs
+++ b/crates/emulator/tests/plan.rs
@@ -3,7 +3,7 @@
 
 use cometcroft_consensus::Features;
 use cometcroft_emulator::fleet::{FleetReport, FleetRun};
-use cometcroft_script::{Plan, Rule, Script};
+use cometcroft_script::{Invariant, Plan, Script};
 
 fn play(script: &Script, seed: u64, members: Option<usize>, parts: Features) -> FleetReport {
     let run = FleetRun::new(Plan::draw(script, seed, members), cometcroft_membership::Features::default());
@@ -66,7 +66,7 @@
 fn shows(script: &Script, seed: u64, parts: Features) -> bool {
     let played = std::panic::catch_unwind(|| {
         let report = play(script, seed, None, parts);
-        let orders = [Rule::TwoOrders, Rule::WayBack, Rule::LostWord];
+        let orders = [Invariant::TwoOrders, Invariant::WayBack, Invariant::LostWord];
         report.broken.iter().any(|broken| orders.contains(&broken.rule))
     });
     played.unwrap_or(true)
--- a/crates/emulator/tests/regions.rs
+++ b/crates/emulator/tests/regions.rs
@@ -4,7 +4,7 @@
 use cometcroft_emulator::kernel::MS;
 use cometcroft_emulator::net::{HostId, Links, Net};
 use cometcroft_membership::Features;
-use cometcroft_script::{NetworkPlan, Plan, Script, Way};
+use cometcroft_script::{Link, NetworkPlan, Plan, Script};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -24,8 +24,8 @@
     NetworkPlan {
         regions: vec!["east".into(), "west".into()],
         region_of_zone: vec![0, 0, 1],
-        inside: Way { delay: ms(1), jitter: ms(1), loss: 0.0 },
-        between: Way { delay: ms(40), jitter: ms(10), loss },
+        inside: Link { delay: ms(1), jitter: ms(1), loss: 0.0 },
+        between: Link { delay: ms(40), jitter: ms(10), loss },
     }
 }
 
@@ -98,8 +98,8 @@
     let killed: Vec<usize> = plan
         .acts
         .iter()
-        .filter_map(|act| match act.doing {
-            cometcroft_script::Doing::Kill(i) => Some(i),
+        .filter_map(|act| match act.action {
+            cometcroft_script::Action::Kill(i) => Some(i),
             _ => None,
         })
         .collect();
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -5,7 +5,7 @@
 use cometcroft_emulator::share::{Divide, ShareReport};
 use cometcroft_membership::Features;
 use cometcroft_rig::{Options, Outcomes, RigReport, RigShare};
-use cometcroft_script::{Broken, Plan, SHIPPED, Script};
+use cometcroft_script::{Plan, SHIPPED, Script, Violation};
 use cometcroft_tomlfile::{Span, Time};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::error::Error;
@@ -228,7 +228,7 @@
     }
 }
 
-fn broken(all: &[Broken]) -> String {
+fn broken(all: &[Violation]) -> String {
     all.iter().map(|broken| format!("broken: {broken}\n")).collect()
 }
 
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -7,7 +7,8 @@
 use crate::relay::Relay;
 use crate::standin::{Backends, hear};
 use cometcroft_script::{
-    Act, Broken, Doing, Judge, Look, Other, Plan, PlanLook, Rule, Say, Spoken, Wires, same_plans,
+    Act, Action, Checker, CommandKind, Invariant, LinkFaults, MemberView, OperatorCommand, Plan, PlanStatus,
+    SettingsOverride, Violation, check_plans_agree,
 };
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -103,7 +104,7 @@
     /// What came of operators' words.
     pub words: Vec<String>,
     /// Rules that were broken.
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// Processes that ended as they should not have.
     pub crashed: Vec<String>,
 }
@@ -123,9 +124,9 @@
     leaving: Option<Instant>,
     /// Busy loops on its processor; each ends when it is dropped.
     loops: Vec<Process>,
-    other: Other,
+    other: SettingsOverride,
     lives: u32,
-    last: Option<Look>,
+    last: Option<MemberView>,
     line: String,
     /// Its part of the shared rate, as its door told last.
     part: f64,
@@ -152,7 +153,7 @@
 type Told = (Instant, usize, u32, String, u64, String);
 
 /// What came of words: when, at whose door, which, the door's answer.
-type Answers = Arc<Mutex<Vec<(Duration, usize, Spoken, Option<Value>)>>>;
+type Answers = Arc<Mutex<Vec<(Duration, usize, OperatorCommand, Option<Value>)>>>;
 
 struct Rig<'a> {
     plan: &'a Plan,
@@ -161,9 +162,9 @@
     relay: Arc<Relay>,
     backends: Backends,
     seats: Vec<Seat>,
-    judge: Judge,
+    judge: Checker,
     began: Instant,
-    wires: Wires,
+    wires: LinkFaults,
     told: (mpsc::Sender<Told>, mpsc::Receiver<Told>),
     deaths: Vec<(usize, Duration, Vec<Option<Duration>>)>,
     outcomes: Arc<Mutex<Outcomes>>,
@@ -244,7 +245,7 @@
                 garbage: Arc::default(),
                 leaving: None,
                 loops: Vec::new(),
-                other: Other::default(),
+                other: SettingsOverride::default(),
                 lives: 0,
                 last: None,
                 line: String::new(),
@@ -259,9 +260,9 @@
             relay,
             backends,
             seats,
-            judge: Judge::new(plan, SLACK),
+            judge: Checker::new(plan, SLACK),
             began: Instant::now(),
-            wires: Wires::default(),
+            wires: LinkFaults::default(),
             told: mpsc::channel(),
             deaths: Vec::new(),
             outcomes: Arc::default(),
@@ -287,9 +288,9 @@
         let mut equal = None;
         let ended = loop {
             while next < acts.len() && acts[next].at <= self.now() {
-                let Act { doing, line, .. } = acts[next].clone();
+                let Act { action: doing, line, .. } = acts[next].clone();
                 self.act(&doing)?;
-                self.judge.done(self.now(), &doing, line);
+                self.judge.record_action(self.now(), &doing, line);
                 next += 1;
             }
             self.look_at_processes();
@@ -348,7 +349,7 @@
         if self.plan.keepers > 0 {
             for (at, server) in &arrivals {
                 let at = at.saturating_duration_since(self.began);
-                self.judge.reached(at, ON_ITS_WAY, &format!("s-{server}"));
+                self.judge.check_drained(at, ON_ITS_WAY, &format!("s-{server}"));
             }
         }
         let Some(budget) = &self.plan.budget else { return };
@@ -356,12 +357,12 @@
         for (at, _) in &arrivals {
             let at = at.saturating_duration_since(self.began);
             self.late += u64::from(at >= started);
-            self.judge.admitted(at, SEEN_LATE);
+            self.judge.record_admission(at, SEEN_LATE);
         }
         let share = &mut self.share;
         share.received += arrivals.len() as u64;
         share.open = (self.backends.open.most.load(Ordering::SeqCst), u64::from(budget.level));
-        self.judge.out(now, share.open.0, share.open.1 + BEYOND);
+        self.judge.check_concurrency(now, share.open.0, share.open.1 + BEYOND);
         let since = share.line.last().map_or(0.0, |last| last.0);
         let took = (now.as_secs_f64() - since).max(0.01);
         let parts = self.seats.iter().filter(|seat| seat.runs()).map(|seat| seat.part).sum();
@@ -372,21 +373,21 @@
 
     /// What must hold at the end, however long it took.
     fn judge_the_end(&mut self, at: Duration) {
-        let looks: Vec<(usize, Look)> =
+        let looks: Vec<(usize, MemberView)> =
             self.seats.iter().enumerate().filter_map(|(i, s)| Some((i, s.last.clone()?))).collect();
         for (i, look) in looks.iter().filter(|(_, look)| !look.superseded) {
-            self.judge.compare(at, *i, look);
+            self.judge.check_converged_view(at, *i, look);
         }
-        let plans: Vec<(usize, PlanLook)> =
+        let plans: Vec<(usize, PlanStatus)> =
             looks.iter().filter_map(|(i, look)| Some((*i, look.plan.clone()?))).collect();
-        self.judge.plans(at, &plans);
+        self.judge.check_plans(at, &plans);
     }
 
-    fn act(&mut self, doing: &Doing) -> io::Result<()> {
+    fn act(&mut self, doing: &Action) -> io::Result<()> {
         let touch = |seat: &Seat| seat.touched.fetch_add(1, Ordering::SeqCst);
         match doing {
-            Doing::Start(i) => self.start(*i)?,
-            Doing::Stop(i) => {
+            Action::Start(i) => self.start(*i)?,
+            Action::Stop(i) => {
                 touch(&self.seats[*i]);
                 self.seats[*i].put(STOPPED);
                 self.seats[*i].last = None;
@@ -394,14 +395,14 @@
                     process.stop();
                 }
             }
-            Doing::GoOn(i) => {
+            Action::Continue(i) => {
                 touch(&self.seats[*i]);
                 if let Some(process) = &mut self.seats[*i].process {
                     process.go_on();
                     self.seats[*i].put(RUNS);
                 }
             }
-            Doing::Kill(i) => {
+            Action::Kill(i) => {
                 touch(&self.seats[*i]);
                 self.died(*i);
                 let seat = &mut self.seats[*i];
@@ -411,7 +412,7 @@
                     process.kill();
                 }
             }
-            Doing::Terminate(i) => {
+            Action::Terminate(i) => {
                 touch(&self.seats[*i]);
                 self.died(*i);
                 let seat = &mut self.seats[*i];
@@ -422,14 +423,14 @@
                     seat.leaving = Some(Instant::now());
                 }
             }
-            Doing::Wire(fault, from, to, wire) => {
+            Action::LinkFault(fault, from, to, wire) => {
                 let Rig { wires, relay, seats, .. } = self;
                 wires.put(*fault, (from, to), *wire, |a, b, all| {
                     relay.wire(seats[a].place, seats[b].place, all);
                 });
             }
-            Doing::Garbage(i, rate) => self.garbage(*i, *rate)?,
-            Doing::Busy(i, loops) => {
+            Action::Garbage(i, rate) => self.garbage(*i, *rate)?,
+            Action::Busy(i, loops) => {
                 let seat = &mut self.seats[*i];
                 seat.loops.clear();
                 if let Some(process) = &mut seat.process {
@@ -443,24 +444,28 @@
                     seat.loops.push(busy);
                 }
             }
-            Doing::Descriptors(i, most) => {
+            Action::Descriptors(i, most) => {
                 touch(&self.seats[*i]);
                 if let Some(process) = &mut self.seats[*i].process {
                     process.descriptors(*most);
                 }
             }
-            Doing::File(i, other) => self.seats[*i].other = *other,
-            Doing::Say(i, spoken) => self.say(*i, spoken.clone()),
+            Action::ChangeSettings(i, other) => self.seats[*i].other = *other,
+            Action::Command(i, spoken) => self.say(*i, spoken.clone()),
         }
         Ok(())
     }
 
     /// Says a word at a door; what comes of it is heard later.
-    fn say(&mut self, i: usize, spoken: Spoken) {
+    fn say(&mut self, i: usize, spoken: OperatorCommand) {
         let (ops, answers, began) = (self.seats[i].ops, self.answers.clone(), self.began);
         tokio::spawn(async move {
             let call = format!("/ops/plan/{}", spoken.call());
-            let text = if matches!(spoken.say, Say::Propose | Say::Release) { &spoken.text } else { "" };
+            let text = if matches!(spoken.say, CommandKind::Propose | CommandKind::Release) {
+                &spoken.text
+            } else {
+                ""
+            };
             let asked = tokio::time::timeout(ANSWERED, put(ops, "PUT", &call, text)).await;
             let answer = asked.ok().flatten();
             let mut answers = answers.lock().unwrap_or_else(PoisonError::into_inner);
@@ -478,7 +483,7 @@
                 .and_then(|a| a.get("index")?.as_u64());
             let founding = self.seats[i].last.as_ref().and_then(|look| Some(look.plan.as_ref()?.place.0));
             if let (Some(index), Some(founding)) = (index, founding) {
-                self.judge.acknowledged(founding, index, spoken.say);
+                self.judge.record_acknowledgement(founding, index, spoken.say);
             }
             let code =
                 answer.as_ref().and_then(|a| a.get("code")).and_then(Value::as_str).unwrap_or("no answer");
@@ -729,21 +734,21 @@
             let revision = look.plan.as_ref().map(|plan| format!("  revision {}", plan.in_force.1));
             let line = format!("{line}{}  door {}", revision.unwrap_or_default(), seat.ops);
             (seat.last, seat.line, seat.part) = (Some(look.clone()), line, part);
-            self.judge.look(now, i, &look);
+            self.judge.check_view(now, i, &look);
         }
         let stopped =
             self.seats.iter().any(|s| s.process.is_some() && s.leaving.is_none() && s.last.is_none());
-        let looks: Vec<&Look> = self.seats.iter().filter_map(|s| s.last.as_ref()).collect();
+        let looks: Vec<&MemberView> = self.seats.iter().filter_map(|s| s.last.as_ref()).collect();
         let speaking = looks.iter().filter(|look| !look.superseded);
         let answered = looks.iter().all(|look| look.answered != Some(false));
-        let plans: Vec<(usize, PlanLook)> =
+        let plans: Vec<(usize, PlanStatus)> =
             looks.iter().enumerate().filter_map(|(i, look)| Some((i, look.plan.clone()?))).collect();
-        let agreed = self.plan.keepers == 0 || same_plans(&plans).is_ok();
+        let agreed = self.plan.keepers == 0 || check_plans_agree(&plans).is_ok();
         equal
             && !stopped
             && answered
             && agreed
-            && speaking.clone().all(|look| self.judge.true_view(look).is_ok())
+            && speaking.clone().all(|look| self.judge.verify_view(look).is_ok())
     }
 
     /// What the logs have told.
@@ -753,7 +758,7 @@
             if self.seats[observer].lives != life {
                 continue;
             }
-            self.judge.changed(now, observer, &name, generation, to == "gone");
+            self.judge.record_state_change(now, observer, &name, generation, to == "gone");
             if to == "gone" || to == "left" {
                 for (dead, _, knows) in &mut self.deaths {
                     if self.seats[*dead].name == name && knows[observer].is_none() {
@@ -764,7 +769,7 @@
         }
         let lost = std::mem::take(&mut *self.lost.lock().unwrap_or_else(PoisonError::into_inner));
         for (i, at) in lost {
-            self.judge.breaks(Rule::Unanswered, at, i, "a request was never answered".to_owned());
+            self.judge.report(Invariant::Unanswered, at, i, "a request was never answered".to_owned());
         }
     }
 
@@ -817,7 +822,7 @@
             datagrams: (count(&passed.datagrams), count(&passed.bytes), count(&passed.lost)),
             share: self.plan.budget.as_ref().map(|_| self.share.clone()),
             words: self.words.clone(),
-            broken: self.judge.broken.clone(),
+            broken: self.judge.violations.clone(),
             crashed: self.crashed.clone(),
         }
     }
@@ -845,13 +850,13 @@
 }
 
 /// Where a plan stands, as its door says.
-fn read_plan(value: &Value) -> Option<PlanLook> {
+fn read_plan(value: &Value) -> Option<PlanStatus> {
     let log = value.get("log")?;
     let number = |from: &Value, name: &str| from.get(name)?.as_u64();
     let permits = value.get("permits")?.as_array()?;
     let clear = |it: &&Value| it["state"].as_str().is_some_and(|state| state.starts_with("clear"));
     let steps = permits.iter().filter_map(|it| it["since"].as_u64());
-    Some(PlanLook {
+    Some(PlanStatus {
         place: (number(log, "founded")?, number(log, "index")?),
         sum: log.get("sum")?.as_str()?.to_owned(),
         in_force: (number(value, "in_force_to")?, number(value, "revision")? as u32),
@@ -876,7 +881,7 @@
     tokio::time::timeout(patience, asked).await.ok().flatten()
 }
 
-fn read_look(value: &Value) -> Option<(Look, String, f64)> {
+fn read_look(value: &Value) -> Option<(MemberView, String, f64)> {
     let number = |name: &str| value.get(name)?.as_u64();
     let name = value.get("name")?.as_str()?.to_owned();
     let generation = number("generation")?;
@@ -891,7 +896,7 @@
         }
     }
     let flag = |name: &str| value.get(name).and_then(Value::as_bool).unwrap_or(false);
-    let look = Look {
+    let look = MemberView {
         generation,
         who,
         at_work: number("at_work")? as u32,
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -1,7 +1,7 @@
 //! The relay: it owns the addresses that members advertise, and does to what passes what the script says, by ordered pair.
 //! Who sends is known by its source address, as each process sends from an address of its own.
 
-use cometcroft_script::Wire;
+use cometcroft_script::LinkFault;
 use std::collections::HashMap;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -44,7 +44,7 @@
 pub struct Relay {
     places: Vec<Place>,
     sockets: Vec<Arc<UdpSocket>>,
-    wires: Mutex<HashMap<(usize, usize), Wire>>,
+    wires: Mutex<HashMap<(usize, usize), LinkFault>>,
     /// When a narrow way is free again.
     free: Mutex<HashMap<(usize, usize), Instant>>,
     rng: Mutex<fastrand::Rng>,
@@ -107,16 +107,16 @@
     }
 
     /// From now on this is what becomes of what one place sends another.
-    pub fn wire(&self, from: usize, to: usize, wire: Wire) {
+    pub fn wire(&self, from: usize, to: usize, wire: LinkFault) {
         let mut wires = self.wires.lock().unwrap_or_else(PoisonError::into_inner);
-        if wire == Wire::default() {
+        if wire == LinkFault::default() {
             wires.remove(&(from, to))
         } else {
             wires.insert((from, to), wire)
         };
     }
 
-    fn on(&self, from: usize, to: usize) -> Wire {
+    fn on(&self, from: usize, to: usize) -> LinkFault {
         let wires = self.wires.lock().unwrap_or_else(PoisonError::into_inner);
         wires.get(&(from, to)).copied().unwrap_or_default()
     }
--- a/crates/rig/src/relay/tests.rs
+++ b/crates/rig/src/relay/tests.rs
@@ -34,14 +34,14 @@
     let (mut far, _) = listener.accept().await.expect("it comes");
     near.write_all(b"x").await.expect("written");
     assert_eq!(far.read_u8().await.expect("it passes"), b'x');
-    relay.wire(1, 0, Wire { reset: true, ..Wire::default() });
+    relay.wire(1, 0, LinkFault { reset: true, ..LinkFault::default() });
     let broke = |read: io::Result<u8>| read.expect_err("it is broken").kind();
     assert_eq!(broke(near.read_u8().await), io::ErrorKind::ConnectionReset);
     assert_eq!(broke(far.read_u8().await), io::ErrorKind::ConnectionReset);
     if let Ok(mut new) = connect().await {
         assert_eq!(broke(new.read_u8().await), io::ErrorKind::ConnectionReset);
     }
-    relay.wire(1, 0, Wire::default());
+    relay.wire(1, 0, LinkFault::default());
     assert!(connect().await.is_ok() && listener.accept().await.is_ok(), "it is over");
 }
 
@@ -50,7 +50,7 @@
     let relay = pair((std::process::id() % 250) as u8 + 1).await;
     let far = own_place(|| UdpSocket::bind(relay.place(1).own)).await;
     let near = UdpSocket::bind((*relay.place(0).own.ip(), 0)).await.expect("its own place");
-    relay.wire(0, 1, Wire { pace: 10_000.0, ..Wire::default() });
+    relay.wire(0, 1, LinkFault { pace: 10_000.0, ..LinkFault::default() });
     for _ in 0..40 {
         near.send_to(&[7; 1000], relay.place(1).reached).await.expect("sent");
     }
--- a/crates/script/src/file.rs
+++ b/crates/script/src/file.rs
@@ -1,4 +1,4 @@
-//! The file: a `[fleet]` and its `[[fault]]`s, every figure exact or a range to draw from.
+//! The script file: a `[fleet]` and its `[[fault]]`s. Every number is exact or a range to draw from.
 
 use crate::limits::Limits;
 use crate::network::NetworkSection;
@@ -6,129 +6,129 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// The fleet.
+/// `[fleet]`: the members of the fleet and the length of the run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetSection {
-    /// The script's name.
+    /// Name of the script.
     pub name: String,
-    /// Members; a command line may say another number.
+    /// Number of members; a command line may override it.
     pub members: Span,
-    /// Its zones, which members take in turn.
+    /// Zones, assigned to the members in rotation.
     pub zones: Vec<String>,
-    /// How long it is played.
+    /// Length of the run.
     pub length: Time,
-    /// The longest pause that members are told to bear.
+    /// The longest pause that the members are configured to tolerate.
     pub longest_pause: Time,
-    /// So many of the members are seeds, the first ones.
+    /// Number of seeds; the first members are the seeds.
     pub seeds: Span,
-    /// Members start within this time.
+    /// Time within which the members start.
     pub start: Time,
-    /// Requests a second on each member, on real processes.
+    /// Requests per second on each member; real processes only.
     pub load: Span,
-    /// The share of members that speak only the message format before; on the virtual clock alone, as one program has
+    /// Share of members that speak only the previous message format. Virtual clock only, because one program has
     /// one set of formats.
     pub old: Span,
-    /// The seed that it is played under if none is given.
+    /// Seed of the run if the command line gives none.
     pub seed: Option<u64>,
-    /// A budget that the members share.
+    /// Budget that the members share.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub budget: Option<BudgetSection>,
-    /// A plan that the members agree on.
+    /// Plan that the members agree on.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub plan: Option<PlanSection>,
 }
 
-/// A plan that the members agree on.
+/// `[fleet.plan]`: a plan that the members agree on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanSection {
-    /// So many of the first members are keepers: 3, 5 or 7.
+    /// Number of voters, which are the first members: 3, 5 or 7.
     pub keepers: usize,
 }
 
-/// What an operator says.
+/// Kind of an operator command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Say {
-    /// The log begins anew.
+#[serde(rename = "Say", rename_all = "kebab-case")]
+pub enum CommandKind {
+    /// Bootstrap the log anew.
     Refound,
-    /// A new revision for all.
+    /// Propose a new revision for all members.
     Propose,
-    /// A past one put back.
+    /// Restore an earlier revision.
     Rollback,
-    /// A new one in waves.
+    /// Release a new revision in waves.
     Release,
-    /// No permit and no wave from here on.
+    /// Halt: grant no permit and begin no wave until resumed.
     Halt,
-    /// The end of that.
+    /// Lift a halt.
     Resume,
-    /// The way back.
+    /// Roll back the current release.
     Back,
-    /// A backend server is to be drained.
+    /// Drain an endpoint.
     Drain,
-    /// The door's own sidecar wants to restart.
+    /// Request a restart permit for the sidecar that receives the command.
     Restart,
-    /// A permit is given back.
+    /// Return a permit.
     Return,
-    /// A permit counts as clear.
+    /// Treat a permit as clear.
     Force,
 }
 
-/// `[[word]]`: an operator's word at a door.
+/// `[[word]]`: a command that an operator sends to an operations endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct WordSection {
-    /// What.
-    pub say: Say,
-    /// When.
+#[serde(rename = "WordSection", deny_unknown_fields)]
+pub struct CommandSection {
+    /// Kind of the command.
+    pub say: CommandKind,
+    /// Time of the first command.
     pub at: Time,
-    /// At whose door: a name, or drawn.
+    /// Name of the member that receives the command; drawn if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub door: Option<String>,
-    /// How often, at doors drawn anew ...
+    /// Number of times that the command is sent; a receiver that is not named is drawn anew each time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub times: Option<Span>,
-    /// ... and so long one after another.
+    /// Interval between two commands.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub every: Option<Time>,
-    /// A revision's text, to which the word's number is added.
+    /// Text of a revision; a comment that makes it unique is appended.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub text: String,
-    /// A revision, or a permit.
+    /// Number of a revision or of a permit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub number: Option<u32>,
-    /// A backend server.
+    /// Name of an endpoint.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub server: String,
-    /// Shares in thousandths.
+    /// Sizes of the waves, in thousandths of the fleet.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub waves: Vec<u16>,
 }
 
-/// A rate and a level that the members share, and their need of it.
+/// `[fleet.budget]`: a rate limit and a concurrency limit that the members share, and their demand.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BudgetSection {
-    /// So many of the first members are keepers.
+    /// Number of voters, which are the first members.
     pub keepers: Span,
-    /// For how long a part is lent.
+    /// Duration of a lease.
     pub lease: Time,
-    /// The whole of the rate, a second ...
+    /// Rate limit of the whole fleet, per second.
     pub rate: Span,
-    /// ... and its burst.
+    /// Burst of the rate limit.
     pub burst: Span,
-    /// The whole of the level.
+    /// Concurrency limit of the whole fleet.
     pub level: Span,
-    /// The longest use of it.
+    /// The longest time for which one use of the concurrency limit is held.
     pub longest: Time,
-    /// The floor of each of the first members, of the rate.
+    /// Guaranteed share of the rate limit for each of the first members.
     pub floor: Span,
-    /// What each member needs, a second.
+    /// Demand of each member, per second.
     pub demand: Span,
-    /// One has so many times that need, ...
+    /// Factor by which the demand of one member, the hot one, is higher.
     pub hot: Span,
-    /// ... and after each of these another one.
+    /// Interval after which another member becomes the hot one.
     pub moves: Time,
 }
 
@@ -168,141 +168,144 @@
     }
 }
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A process is stopped, and goes on after `for`.
+    /// Stops a process and continues it after `for`.
     Pause,
-    /// A process is killed for good.
+    /// Kills a process for good.
     Kill,
-    /// A process is killed and starts again `after` that, under its name and address.
+    /// Kills a process and starts it again `after` that time, with the same name and address.
     Restart,
-    /// A process is asked to leave, and does not come back.
+    /// Asks a process to leave; it does not come back.
     Terminate,
-    /// New members start.
+    /// Starts new members.
     Join,
-    /// A second process starts under a member's name, at an address of its own.
+    /// Starts a second process with the name of a member, at an address of its own.
     Twin,
-    /// A killed process' address is taken by a member of another name, `after` that.
+    /// Kills a process; a member of another name takes its address `after` that time.
     Usurp,
-    /// Nothing passes from `from` to `to`.
+    /// Drops all traffic from `from` to `to`.
     Cut,
-    /// A `share` of the datagrams is lost.
+    /// Drops a `share` of the datagrams.
     Loss,
-    /// Datagrams are `delay` later, and up to `jitter` more, so that they overtake one another.
+    /// Delays datagrams by `delay` and up to `jitter` more, so that they are reordered.
     Late,
-    /// A `share` of the datagrams arrives twice.
+    /// Duplicates a `share` of the datagrams.
     Copies,
-    /// In a `share` of the datagrams a byte is turned over.
+    /// Corrupts one byte in a `share` of the datagrams.
     Turned,
-    /// The fleet falls into sides of these `sides`, as shares; nothing passes between them.
+    /// Partitions the fleet into groups of the relative sizes `sides`; no traffic passes between them.
     Split,
-    /// A zone is cut off from the others.
+    /// Partitions a zone from the others.
     Zone,
-    /// A region is cut off from the others.
+    /// Partitions a region from the others.
     Region,
-    /// So many datagrams a second that make no sense come to a member.
+    /// Sends `count` invalid datagrams per second to a member.
     Garbage,
-    /// Connections are reset, open ones and new ones.
+    /// Resets connections, both open and new ones.
     Reset,
-    /// Only `count` bytes a second pass; what waits for over a second is lost.
+    /// Limits traffic to `count` bytes per second; data that would wait for more than a second is dropped.
     Throttle,
-    /// A process shares its processor with `count` busy loops.
+    /// Runs `count` busy loops on the processor of a process.
     Busy,
-    /// A process may hold `count` descriptors at most.
+    /// Limits a process to `count` file descriptors.
     Descriptors,
 }
 
-/// A fault.
+/// `[[fault]]`: a fault that is injected into the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What.
+    /// Kind of the fault.
     pub kind: Kind,
-    /// When.
+    /// Time at which the fault begins.
     pub at: Time,
-    /// For how long.
+    /// Duration of the fault.
     #[serde(rename = "for", default, skip_serializing_if = "Option::is_none")]
     pub lasting: Option<Time>,
-    /// How often it comes, each drawn anew.
+    /// Number of occurrences; each is drawn anew.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub times: Option<Span>,
-    /// So long after one ends the next begins, in place of drawn anew.
+    /// Interval between the end of one occurrence and the beginning of the next; without it, each begins at a time
+    /// drawn from `at`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub every: Option<Time>,
-    /// Whom it hits: a member's name, or all of a `zone:NAME`; drawn if neither this nor `share` is given.
+    /// Members affected: a member's name, or `zone:NAME` for all members of a zone; drawn if neither this nor
+    /// `share` is given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target: Option<String>,
-    /// What share of the members it hits; for loss, copies and turned bytes the share of datagrams.
+    /// Share of the members affected; for loss, duplication and corruption, the share of datagrams.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub share: Option<Span>,
-    /// Whose sending: a name, `zone:NAME`, `all` or `rest` (all but `to`).
+    /// Senders affected: a name, `zone:NAME`, `all`, `one`, `seeds`, `keepers` or `rest` (all but `to`).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub from: Option<String>,
-    /// To whom, likewise (`rest`: all but `from`).
+    /// Receivers affected, in the same notation (`rest`: all but `from`).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub to: Option<String>,
-    /// Both directions.
+    /// Applies the fault in both directions.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub both: bool,
-    /// Shares of the sides.
+    /// Relative sizes of the groups of a split.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub sides: Vec<f64>,
-    /// So much later.
+    /// Minimum added delay.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delay: Option<Time>,
-    /// And up to this much more.
+    /// Maximum further delay beyond `delay`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub jitter: Option<Time>,
-    /// So long after a kill.
+    /// Time between a kill and the start that follows.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after: Option<Time>,
-    /// For a restart: the new file's longest pause, ...
+    /// Longest tolerated pause in the settings file that a restarted process reads.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub longest_pause: Option<Time>,
-    /// ... and its whole of the shared rate.
+    /// Rate limit of the fleet in the settings file that a restarted process reads.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rate: Option<Span>,
-    /// How many: members that join, datagrams a second of garbage.
+    /// Kind-specific number: members that join, invalid datagrams per second, bytes per second, busy loops or
+    /// descriptors.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub count: Option<Span>,
 }
 
-/// A script.
+/// A fault script.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
     /// The fleet.
     pub fleet: FleetSection,
-    /// Its regions, if it has any.
+    /// Regions and the links between zones, if given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub network: Option<NetworkSection>,
-    /// What a member may send and receive.
+    /// Limits on the traffic of a member.
     #[serde(default, skip_serializing_if = "Limits::is_empty")]
     pub limits: Limits,
-    /// What goes wrong.
+    /// Faults to inject.
     #[serde(rename = "fault", default)]
     pub faults: Vec<Fault>,
-    /// What operators say.
+    /// Commands that operators send.
     #[serde(rename = "word", default, skip_serializing_if = "Vec::is_empty")]
-    pub words: Vec<WordSection>,
-    /// The lines on which the faults stand.
+    pub words: Vec<CommandSection>,
+    /// Line numbers of the `[[fault]]` tables.
     #[serde(skip)]
     pub lines: Vec<usize>,
 }
 
-/// Members of a fleet at most.
-const MOST_MEMBERS: f64 = 4000.0;
+/// Maximum number of members of a fleet.
+const MAX_MEMBERS: f64 = 4000.0;
 
-/// Scripts of these names: name and text.
+/// Embeds the scripts of the given names, as pairs of name and text.
 macro_rules! scripts {
     ($($name:literal),* $(,)?) => {
         &[$(($name, include_str!(concat!("../scripts/", $name, ".toml")))),*]
     };
 }
 
-/// The scripts that come with the program, for the virtual clock and for real processes: name and text.
+/// Scripts that come with the program, for the virtual clock and for real processes, as pairs of name and text.
 pub const SHIPPED: &[(&str, &str)] = scripts![
     "calm",
     "pauses",
@@ -364,12 +367,12 @@
     "plan-evening",
 ];
 
-/// Scripts for fleets of any size, up to thousands of members, on the virtual clock alone: name and text.
+/// Scripts for fleets of any size, up to thousands of members, as pairs of name and text. Virtual clock only.
 pub const SIZED: &[(&str, &str)] =
     scripts!["size-rest", "size-start", "size-restart", "size-zone-lost", "size-region-apart"];
 
 impl Script {
-    /// Reads a script; `file` is only named in errors.
+    /// Parses a script; `file` is used only in error messages.
     pub fn parse(text: &str, file: &str) -> Result<Script, FileError> {
         let mut script: Script = cometcroft_tomlfile::read(text, file)?;
         let places: Vec<usize> = text.match_indices("[[fault]]").map(|(at, _)| at).collect();
@@ -383,7 +386,7 @@
         Ok(script)
     }
 
-    /// A shipped script by its name, or else one in a file of that path.
+    /// Returns the embedded script of this name, or else reads the file at this path.
     pub fn find(name: &str) -> Result<Script, FileError> {
         match SHIPPED.iter().chain(SIZED).find(|(shipped, _)| *shipped == name) {
             Some((_, text)) => Script::parse(text, name),
@@ -394,10 +397,11 @@
         }
     }
 
-    /// What no single field shows: which fault, the field, the reason.
+    /// Checks constraints that span several fields. An error holds the index of the fault, the field and the
+    /// reason.
     fn check(&self) -> Result<(), (Option<usize>, &'static str, &'static str)> {
         let fleet = &self.fleet;
-        if fleet.members.0 < 1.0 || fleet.members.1 > MOST_MEMBERS {
+        if fleet.members.0 < 1.0 || fleet.members.1 > MAX_MEMBERS {
             return Err((None, "members", "must be between 1 and 4000"));
         }
         if fleet.zones.is_empty() {
@@ -434,12 +438,12 @@
                 (false, true) => Err((Some(i), field, "this kind of fault needs it")),
                 _ => Ok(()),
             };
-            let wire = matches!(kind, Cut | Loss | Late | Copies | Turned | Reset | Throttle);
+            let on_link = matches!(kind, Cut | Loss | Late | Copies | Turned | Reset | Throttle);
             let lasting =
-                wire || matches!(kind, Pause | Split | Zone | Region | Garbage | Busy | Descriptors);
+                on_link || matches!(kind, Pause | Split | Zone | Region | Garbage | Busy | Descriptors);
             need("for", fault.lasting.is_some(), lasting)?;
-            need("from", fault.from.is_some(), wire)?;
-            need("to", fault.to.is_some(), wire)?;
+            need("from", fault.from.is_some(), on_link)?;
+            need("to", fault.to.is_some(), on_link)?;
             need("sides", !fault.sides.is_empty(), kind == Split)?;
             need("after", fault.after.is_some(), matches!(kind, Restart | Usurp))?;
             if !matches!(kind, Busy | Descriptors) {
--- a/crates/script/src/lib.rs
+++ b/crates/script/src/lib.rs
@@ -1,18 +1,22 @@
-//! Scripts of faults in a fleet: the file ([`Script`]), one draw from it ([`Plan`]) as acts that the emulator and the rig
-//! of real processes both can play, and the [`Judge`] that both are judged by. `docs/fleet-rig.md` is the reference.
+//! Fault scripts for a fleet of sidecars: the file ([`Script`]), a run drawn from it ([`Plan`]) whose actions both the
+//! emulator and the rig of real processes can perform, and the [`Checker`] that checks both against the same invariants.
+//! `docs/fleet-rig.md` is the reference.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
+mod checker;
 mod file;
-mod judge;
 mod limits;
 mod network;
 mod plan;
 
+pub use checker::{Checker, Invariant, MemberView, PlanStatus, Violation, check_plans_agree};
 pub use file::{
-    BudgetSection, Fault, FleetSection, Kind, PlanSection, SHIPPED, SIZED, Say, Script, WordSection,
+    BudgetSection, CommandKind, CommandSection, Fault, FleetSection, Kind, PlanSection, SHIPPED, SIZED,
+    Script,
 };
-pub use judge::{Broken, Judge, Look, PlanLook, Rule, same_plans};
 pub use limits::Limits;
-pub use network::{NetworkPlan, NetworkSection, Way, WaySection};
-pub use plan::{Act, BudgetPlan, Doing, MemberPlan, Other, Plan, Spoken, Wire, Wires};
+pub use network::{Link, LinkSection, NetworkPlan, NetworkSection};
+pub use plan::{
+    Act, Action, BudgetPlan, LinkFault, LinkFaults, MemberPlan, OperatorCommand, Plan, SettingsOverride,
+};
--- a/crates/script/src/limits.rs
+++ b/crates/script/src/limits.rs
@@ -1,21 +1,22 @@
-//! What one member may send and receive.
+//! Limits on the traffic of one member.
 
 use serde::{Deserialize, Serialize};
 
-/// `[limits]`: bytes that one member may receive and send, both together, in any ten seconds. On the virtual clock alone.
+/// `[limits]`: maximum number of bytes, received and sent together, of one member in any ten seconds. Virtual clock
+/// only.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// At any time.
+    /// Limit for the whole run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub window_bytes: Option<u64>,
-    /// In the steady period at the end.
+    /// Limit for the steady period at the end of the run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub steady_window_bytes: Option<u64>,
 }
 
 impl Limits {
-    /// Nothing is limited.
+    /// Returns whether no limit is set.
     pub fn is_empty(&self) -> bool {
         *self == Limits::default()
     }
--- a/crates/script/src/network.rs
+++ b/crates/script/src/network.rs
@@ -1,49 +1,49 @@
-//! The network of a fleet: zones that belong to regions, and the ways between them.
+//! The network of a fleet: zones that belong to regions, and the links between them.
 
 use cometcroft_tomlfile::{Span, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// `[network]`: which zones lie in which region, and what the ways between zones are like. On the virtual clock alone:
-/// real processes are on one machine.
+/// `[network]`: the zones of each region and the links between zones. Virtual clock only, because real processes
+/// run on one machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NetworkSection {
-    /// The zones of each region. Every zone of the fleet belongs to one.
+    /// Zones of each region. Every zone of the fleet belongs to exactly one region.
     pub regions: BTreeMap<String, Vec<String>>,
-    /// The way between two zones of one region.
+    /// Link between two zones of one region.
     #[serde(default)]
-    pub inside: WaySection,
-    /// The way between two regions.
-    pub between: WaySection,
+    pub inside: LinkSection,
+    /// Link between two regions.
+    pub between: LinkSection,
 }
 
-/// A way between two hosts, in one direction.
+/// A link between two hosts, in one direction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct WaySection {
-    /// So long at least.
+#[serde(rename = "WaySection", deny_unknown_fields, default)]
+pub struct LinkSection {
+    /// Minimum delay.
     pub delay: Time,
-    /// And up to this much more.
+    /// Maximum further delay beyond `delay`.
     pub jitter: Time,
-    /// The share of datagrams lost.
+    /// Share of datagrams lost.
     pub loss: Span,
 }
 
-impl Default for WaySection {
-    /// Two zones of one region.
-    fn default() -> WaySection {
-        WaySection { delay: Time(0.002, 0.002), jitter: Time(0.001, 0.001), loss: Span(0.0, 0.0) }
+impl Default for LinkSection {
+    /// The defaults suit two zones of one region.
+    fn default() -> LinkSection {
+        LinkSection { delay: Time(0.002, 0.002), jitter: Time(0.001, 0.001), loss: Span(0.0, 0.0) }
     }
 }
 
-/// What is wrong with a section: the field and the reason.
-type Wrong = (&'static str, &'static str);
+/// An invalid field: its name and the reason.
+type FieldError = (&'static str, &'static str);
 
 impl NetworkSection {
-    /// What no single field shows, for a fleet of these zones.
-    pub(crate) fn check(&self, zones: &[String]) -> Result<(), Wrong> {
+    /// Checks constraints that span several fields, for a fleet with these zones.
+    pub(crate) fn check(&self, zones: &[String]) -> Result<(), FieldError> {
         let named: Vec<&String> = self.regions.values().flatten().collect();
         if named.iter().any(|zone| !zones.contains(zone)) {
             return Err(("regions", "must name zones of the fleet"));
@@ -57,7 +57,7 @@
         Ok(())
     }
 
-    /// One draw, with these draws of a time and of a figure.
+    /// Draws a network; `time` and `figure` draw a time and a number from a range.
     pub(crate) fn draw(
         &self,
         zones: &[String],
@@ -65,7 +65,7 @@
         mut figure: impl FnMut(Span) -> f64,
     ) -> NetworkPlan {
         let mut way =
-            |of: &WaySection| Way { delay: time(of.delay), jitter: time(of.jitter), loss: figure(of.loss) };
+            |of: &LinkSection| Link { delay: time(of.delay), jitter: time(of.jitter), loss: figure(of.loss) };
         let region = |zone: &String| self.regions.values().position(|zones| zones.contains(zone));
         NetworkPlan {
             regions: self.regions.keys().cloned().collect(),
@@ -76,33 +76,33 @@
     }
 }
 
-/// A way between two hosts, as it was drawn.
+/// A link between two hosts, as drawn.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Way {
-    /// So long at least.
+pub struct Link {
+    /// Minimum delay.
     pub delay: Duration,
-    /// And up to this much more.
+    /// Maximum further delay beyond `delay`.
     pub jitter: Duration,
-    /// The share of datagrams lost.
+    /// Share of datagrams lost.
     pub loss: f64,
 }
 
-/// The network, as it was drawn.
+/// The network, as drawn.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NetworkPlan {
-    /// The regions' names.
+    /// Names of the regions.
     pub regions: Vec<String>,
-    /// The region of each zone, by numbers.
+    /// Index of the region of each zone.
     pub region_of_zone: Vec<usize>,
-    /// Between two zones of one region.
-    pub inside: Way,
-    /// Between two regions.
-    pub between: Way,
+    /// Link between two zones of one region.
+    pub inside: Link,
+    /// Link between two regions.
+    pub between: Link,
 }
 
 impl NetworkPlan {
-    /// The way from one zone to another; `None` within one.
-    pub fn way(&self, from: usize, to: usize) -> Option<&Way> {
+    /// Returns the link from one zone to another, or `None` within a zone.
+    pub fn way(&self, from: usize, to: usize) -> Option<&Link> {
         if from == to {
             return None;
         }
@@ -110,7 +110,7 @@
         Some(if region(from) == region(to) { &self.inside } else { &self.between })
     }
 
-    /// The number of a region.
+    /// Returns the index of a region.
     pub fn region(&self, name: &str) -> Option<usize> {
         self.regions.iter().position(|region| region == name)
     }
--- a/crates/script/src/plan.rs
+++ b/crates/script/src/plan.rs
@@ -1,38 +1,38 @@
-//! A plan: one draw from a script under a seed. Acts at their instants, which the emulator and the rig both can do, and
-//! whom each fault may harm.
+//! Plans: a run drawn from a script with a seed. It holds timed actions, which both the emulator and the rig can perform,
+//! and the members that each fault may affect.
 
-use crate::file::{Fault, Kind, Say, Script, WordSection};
+use crate::file::{CommandKind, CommandSection, Fault, Kind, Script};
 use crate::limits::Limits;
 use crate::network::NetworkPlan;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What becomes of what one member sends another.
+/// Effect of faults on the traffic from one member to another.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Wire {
-    /// Nothing passes.
+pub struct LinkFault {
+    /// Drops all traffic.
     pub cut: bool,
-    /// The share of datagrams lost.
+    /// Share of datagrams lost.
     pub loss: f64,
-    /// The share that comes twice.
+    /// Share of datagrams duplicated.
     pub copies: f64,
-    /// The share with a byte turned over.
+    /// Share of datagrams with one corrupted byte.
     pub turned: f64,
-    /// Later by this.
+    /// Minimum added delay.
     pub delay: Duration,
-    /// And up to this much more.
+    /// Maximum further delay beyond `delay`.
     pub jitter: Duration,
-    /// Connections are reset.
+    /// Resets connections.
     pub reset: bool,
-    /// So many bytes a second pass; 0 for any number.
+    /// Throughput limit in bytes per second; 0 for no limit.
     pub pace: f64,
 }
 
-impl Wire {
-    /// Both at once.
-    pub fn and(self, other: Wire) -> Wire {
-        Wire {
+impl LinkFault {
+    /// Combines the effects of two faults on the same link.
+    pub fn and(self, other: LinkFault) -> LinkFault {
+        LinkFault {
             cut: self.cut || other.cut,
             loss: 1.0 - (1.0 - self.loss) * (1.0 - other.loss),
             copies: self.copies.max(other.copies),
@@ -48,28 +48,29 @@
     }
 }
 
-/// A fault by its number, and what it makes of what one member sends another.
-type FaultOnWire = (usize, Wire);
+/// The number of a fault and its effect on one link.
+type NumberedFault = (usize, LinkFault);
 
-/// What all faults together make of each ordered pair of members. Pairs that no fault is on are not held.
+/// Active faults of each ordered pair of members. Pairs without a fault are not stored.
 #[derive(Debug, Default)]
-pub struct Wires(HashMap<(usize, usize), Vec<FaultOnWire>>);
+pub struct LinkFaults(HashMap<(usize, usize), Vec<NumberedFault>>);
 
-impl Wires {
-    /// Puts a fault on all these pairs, or takes it away, and tells each pair and what it has become.
+impl LinkFaults {
+    /// Sets or, with `None`, removes a fault on all pairs of `from` and `to`, and reports the combined effect on
+    /// each pair.
     pub fn put(
         &mut self,
         fault: usize,
         (from, to): (&[usize], &[usize]),
-        wire: Option<Wire>,
-        mut became: impl FnMut(usize, usize, Wire),
+        effect: Option<LinkFault>,
+        mut on_change: impl FnMut(usize, usize, LinkFault),
     ) {
         for &a in from {
             for &b in to.iter().filter(|b| **b != a) {
                 let on = self.0.entry((a, b)).or_default();
                 on.retain(|(other, _)| *other != fault);
-                on.extend(wire.map(|wire| (fault, wire)));
-                became(a, b, on.iter().fold(Wire::default(), |all, (_, wire)| all.and(*wire)));
+                on.extend(effect.map(|effect| (fault, effect)));
+                on_change(a, b, on.iter().fold(LinkFault::default(), |all, (_, effect)| all.and(*effect)));
                 if on.is_empty() {
                     self.0.remove(&(a, b));
                 }
@@ -78,233 +79,236 @@
     }
 }
 
-/// What is done.
+/// An action on the fleet.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Doing {
-    /// A member's process starts.
+pub enum Action {
+    /// Starts a member's process.
     Start(usize),
-    /// It is stopped.
+    /// Stops the process until [`Action::Continue`].
     Stop(usize),
-    /// It goes on.
-    GoOn(usize),
-    /// It is killed.
+    /// Continues a stopped process.
+    Continue(usize),
+    /// Kills the process.
     Kill(usize),
-    /// It is asked to leave.
+    /// Asks the process to leave.
     Terminate(usize),
-    /// From now on this fault is on what these send those; `None` takes it away. The number names the fault.
-    Wire(usize, Vec<usize>, Vec<usize>, Option<Wire>),
-    /// So many datagrams a second of nonsense come to a member from now on.
+    /// Sets the fault of this number on the links from these senders to these receivers; `None` removes it.
+    LinkFault(usize, Vec<usize>, Vec<usize>, Option<LinkFault>),
+    /// Sends this many invalid datagrams per second to the member from now on.
     Garbage(usize, u32),
-    /// So many busy loops share its processor from now on.
+    /// Runs this many busy loops on the member's processor from now on.
     Busy(usize, u32),
-    /// It may hold so many descriptors from now on; 0 for as many as before.
+    /// Limits the member to this many file descriptors from now on; 0 restores the previous limit.
     Descriptors(usize, u32),
-    /// Its next start has another file.
-    File(usize, Other),
-    /// A word is said at its door.
-    Say(usize, Spoken),
+    /// Changes the settings file that the member reads at its next start.
+    ChangeSettings(usize, SettingsOverride),
+    /// Sends a command to the member's operations endpoint.
+    Command(usize, OperatorCommand),
 }
 
-/// A word at a door.
+/// A command to an operations endpoint.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Spoken {
-    /// What.
-    pub say: Say,
-    /// Its number, which it keeps however often it is said.
+pub struct OperatorCommand {
+    /// Kind of the command.
+    pub say: CommandKind,
+    /// Identifier that stays the same when the command is sent again.
     pub id: u64,
-    /// A revision's text.
+    /// Text of a revision.
     pub text: String,
-    /// A revision, or a permit.
+    /// Number of a revision or of a permit.
     pub number: u32,
-    /// A backend server.
+    /// Name of an endpoint.
     pub server: String,
-    /// Shares in thousandths.
+    /// Sizes of the waves, in thousandths of the fleet.
     pub waves: Vec<u16>,
 }
 
-impl Spoken {
-    /// The door's call: what follows `/ops/plan/`.
+impl OperatorCommand {
+    /// Returns the path and query of the HTTP call, after `/ops/plan/`.
     pub fn call(&self) -> String {
-        let Spoken { id, number, server, .. } = self;
+        let OperatorCommand { id, number, server, .. } = self;
         match self.say {
-            Say::Refound => "refound".to_owned(),
-            Say::Propose => format!("propose?id={id}"),
-            Say::Rollback => format!("rollback?id={id}&to={number}"),
-            Say::Release => {
+            CommandKind::Refound => "refound".to_owned(),
+            CommandKind::Propose => format!("propose?id={id}"),
+            CommandKind::Rollback => format!("rollback?id={id}&to={number}"),
+            CommandKind::Release => {
                 let waves: Vec<String> = self.waves.iter().map(u16::to_string).collect();
                 format!("release?id={id}&waves={}", waves.join(","))
             }
-            Say::Halt => format!("halt?id={id}"),
-            Say::Resume => format!("resume?id={id}"),
-            Say::Back => format!("back?id={id}"),
-            Say::Drain => format!("drain?id={id}&server={server}"),
-            Say::Restart => format!("restart?id={id}"),
-            Say::Return => format!("return?id={id}&permit={number}"),
-            Say::Force => format!("force?id={id}&permit={number}"),
+            CommandKind::Halt => format!("halt?id={id}"),
+            CommandKind::Resume => format!("resume?id={id}"),
+            CommandKind::Back => format!("back?id={id}"),
+            CommandKind::Drain => format!("drain?id={id}&server={server}"),
+            CommandKind::Restart => format!("restart?id={id}"),
+            CommandKind::Return => format!("return?id={id}&permit={number}"),
+            CommandKind::Force => format!("force?id={id}&permit={number}"),
         }
     }
 }
 
-/// What is other in a file.
+/// Values that differ in the settings file of one member.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Other {
-    /// The longest pause.
+pub struct SettingsOverride {
+    /// Longest tolerated pause.
     pub longest_pause: Option<Duration>,
-    /// The whole of the shared rate.
+    /// Rate limit of the whole fleet.
     pub rate: Option<f64>,
 }
 
-/// An act at its time.
+/// An action and its time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Act {
-    /// When, from the beginning.
+    /// Time since the beginning of the run.
     pub at: Duration,
-    /// What.
-    pub doing: Doing,
-    /// The line of the script that it comes from; 0 for the start.
+    /// The action.
+    pub action: Action,
+    /// Line of the script that the action comes from; 0 if it comes from no fault.
     pub line: usize,
 }
 
-/// A member.
+/// A member, as drawn.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MemberPlan {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its zone, by number.
+    /// Index of its zone.
     pub zone: usize,
-    /// The number of its address: a member that takes another's has the same.
+    /// Number of its address; a member that takes the address of another has the same number.
     pub place: usize,
 }
 
-/// A time in which a fault may rightly make members look gone, or keep them from knowing.
+/// A period in which a fault may legitimately make members appear dead, or keep them from learning of changes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Harm {
-    /// From when.
+    /// Beginning of the period.
     pub from: Duration,
-    /// Until when: some time after the fault's end, in which what it did is put right.
+    /// End of the period: the end of the fault and the time to recover from it.
     pub until: Duration,
-    /// Whom, in order.
+    /// Members affected, in ascending order.
     pub members: Vec<usize>,
 }
 
-/// What the members share.
+/// The shared budget, as drawn.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BudgetPlan {
-    /// So many of the first places are keepers.
+    /// Number of voters, which have the first addresses.
     pub keepers: usize,
-    /// For how long a part is lent.
+    /// Duration of a lease.
     pub lease: Duration,
-    /// The whole of the rate, a second.
+    /// Rate limit of the whole fleet, per second.
     pub rate: f64,
-    /// Its burst.
+    /// Burst of the rate limit.
     pub burst: f64,
-    /// The whole of the level.
+    /// Concurrency limit of the whole fleet.
     pub level: u32,
-    /// The longest use of it.
+    /// The longest time for which one use of the concurrency limit is held.
     pub longest: Duration,
-    /// The floor of each of the first members, of the rate.
+    /// Guaranteed share of the rate limit for each of the first members.
     pub floor: f64,
-    /// What each member needs, a second.
+    /// Demand of each member, per second.
     pub demand: f64,
-    /// One has so many times that need, ...
+    /// Factor by which the demand of one member, the hot one, is higher.
     pub hot: f64,
-    /// ... and after each of these another one.
+    /// Interval after which another member becomes the hot one.
     pub moves: Duration,
 }
 
 impl BudgetPlan {
-    /// What a member needs at a time, a second, among so many.
+    /// Returns the demand of a member at a time, per second, in a fleet of `members`.
     pub fn need(&self, member: usize, members: usize, at: Duration) -> f64 {
         let turn = (at.as_secs_f64() / self.moves.as_secs_f64().max(0.1)) as usize;
-        // Every third from one to the next, so that the hot place is not the divider's neighbour each time.
+        // Steps by three members, so that the hot member is not next to the allocator each time.
         let hot = (turn * 3 + 1) % members.max(1);
         if member == hot { self.demand * self.hot } else { self.demand }
     }
 }
 
-/// One draw.
+/// A run drawn from a script.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// The script's name.
+    /// Name of the script.
     pub name: String,
-    /// The seed.
+    /// Seed that the run was drawn with.
     pub seed: u64,
-    /// Its zones.
+    /// Zones of the fleet.
     pub zones: Vec<String>,
-    /// All members, those that start later too.
+    /// All members, including those that start later.
     pub members: Vec<MemberPlan>,
-    /// So many of the first are seeds.
+    /// Number of seeds; the first members are the seeds.
     pub seeds: usize,
-    /// So many are there from the beginning; settings say this number.
+    /// Number of members at the beginning, which is also the fleet size in the settings.
     pub first: usize,
-    /// The longest pause that members bear.
+    /// The longest pause that the members tolerate.
     pub longest_pause: Duration,
-    /// What is done, in order of time.
+    /// Actions, ordered by time.
     pub acts: Vec<Act>,
-    /// Whom it harms.
+    /// Periods in which faults affect members.
     pub harms: Vec<Harm>,
-    /// When it ends.
+    /// Length of the run.
     pub length: Duration,
-    /// When the last fault has ended.
+    /// End of the last fault.
     pub quiet_from: Duration,
-    /// Requests a second on each member.
+    /// Requests per second on each member.
     pub load: f64,
-    /// So many of the first speak only the message format before.
+    /// Number of members, the first ones, that speak only the previous message format.
     pub old: usize,
-    /// What the members share, if anything.
+    /// Shared budget, if any.
     pub budget: Option<BudgetPlan>,
-    /// So many of the first members are keepers of a plan; 0 for no plan.
+    /// Number of voters of the plan, which are the first members; 0 without a plan.
     pub keepers: usize,
-    /// Its regions, if it has any.
+    /// Regions and links, if given.
     pub network: Option<NetworkPlan>,
-    /// What a member may send and receive.
+    /// Limits on the traffic of a member.
     pub limits: Limits,
 }
 
-/// Bytes a second from one member to another that are enough for all that members say.
-const BROAD: f64 = 8_000.0;
+/// Throughput from one member to another that suffices for all messages between members.
+const MIN_HARMLESS_BYTES_PER_SECOND: f64 = 8_000.0;
 
 struct Draw<'a> {
     script: &'a Script,
     rng: fastrand::Rng,
     plan: Plan,
-    /// Whom a fault has taken for good.
-    spent: Vec<usize>,
-    /// Who is stopped, from when, until when.
+    /// Members that an earlier fault has removed for good.
+    removed: Vec<usize>,
+    /// Pauses: member, beginning and end.
     pauses: Vec<(usize, Duration, Duration)>,
 }
 
-fn time(rng: &mut fastrand::Rng, t: cometcroft_tomlfile::Time) -> Duration {
+fn draw_time(rng: &mut fastrand::Rng, t: cometcroft_tomlfile::Time) -> Duration {
     Duration::from_secs_f64(t.0 + (t.1 - t.0) * rng.f64())
 }
 
-fn span(rng: &mut fastrand::Rng, s: cometcroft_tomlfile::Span) -> f64 {
+fn draw_number(rng: &mut fastrand::Rng, s: cometcroft_tomlfile::Span) -> f64 {
     s.0 + (s.1 - s.0) * rng.f64()
 }
 
 impl Plan {
-    /// A script's draw under a seed, with so many members if that is said.
+    /// Draws a run from a script with a seed; `members` overrides the number of members.
     pub fn draw(script: &Script, seed: u64, members: Option<usize>) -> Plan {
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x9e37_79b9_7f4a_7c15);
         let fleet = &script.fleet;
-        let drawn = span(&mut rng, fleet.members).round() as usize;
+        let drawn = draw_number(&mut rng, fleet.members).round() as usize;
         let first = members.unwrap_or(drawn).max(1);
-        let seeds = (span(&mut rng, fleet.seeds).round() as usize).clamp(1, first);
+        let seeds = (draw_number(&mut rng, fleet.seeds).round() as usize).clamp(1, first);
         let zones = fleet.zones.len();
         let member = |i: usize| MemberPlan { name: format!("m{}", i + 1), zone: i % zones, place: i };
         let budget = fleet.budget.as_ref().map(|budget| BudgetPlan {
-            // An odd number, or there may be no greater half.
-            keepers: (span(&mut rng, budget.keepers).round() as usize).clamp(1, first.min(7)).div_ceil(2) * 2
+            // Rounded to an odd number: an even number of voters can split into halves without a majority.
+            keepers: (draw_number(&mut rng, budget.keepers).round() as usize)
+                .clamp(1, first.min(7))
+                .div_ceil(2)
+                * 2
                 - 1,
-            lease: time(&mut rng, budget.lease),
-            rate: span(&mut rng, budget.rate),
-            burst: span(&mut rng, budget.burst),
-            level: span(&mut rng, budget.level).round() as u32,
-            longest: time(&mut rng, budget.longest),
-            floor: span(&mut rng, budget.floor),
-            demand: span(&mut rng, budget.demand),
-            hot: span(&mut rng, budget.hot),
-            moves: time(&mut rng, budget.moves),
+            lease: draw_time(&mut rng, budget.lease),
+            rate: draw_number(&mut rng, budget.rate),
+            burst: draw_number(&mut rng, budget.burst),
+            level: draw_number(&mut rng, budget.level).round() as u32,
+            longest: draw_time(&mut rng, budget.longest),
+            floor: draw_number(&mut rng, budget.floor),
+            demand: draw_number(&mut rng, budget.demand),
+            hot: draw_number(&mut rng, budget.hot),
+            moves: draw_time(&mut rng, budget.moves),
         });
         let plan = Plan {
             name: fleet.name.clone(),
@@ -313,13 +317,13 @@
             members: (0..first).map(member).collect(),
             seeds,
             first,
-            longest_pause: time(&mut rng, fleet.longest_pause),
+            longest_pause: draw_time(&mut rng, fleet.longest_pause),
             acts: Vec::new(),
             harms: Vec::new(),
-            length: time(&mut rng, fleet.length),
+            length: draw_time(&mut rng, fleet.length),
             quiet_from: Duration::ZERO,
-            load: span(&mut rng, fleet.load),
-            old: (span(&mut rng, fleet.old) * first as f64).round() as usize,
+            load: draw_number(&mut rng, fleet.load),
+            old: (draw_number(&mut rng, fleet.old) * first as f64).round() as usize,
             budget,
             keepers: fleet.plan.as_ref().map_or(0, |plan| plan.keepers),
             network: None,
@@ -329,34 +333,34 @@
             let rng = RefCell::new(&mut rng);
             section.draw(
                 &fleet.zones,
-                |of| time(&mut rng.borrow_mut(), of),
-                |of| span(&mut rng.borrow_mut(), of),
+                |of| draw_time(&mut rng.borrow_mut(), of),
+                |of| draw_number(&mut rng.borrow_mut(), of),
             )
         });
         let plan = Plan { network, ..plan };
-        let mut draw = Draw { script, rng, plan, spent: Vec::new(), pauses: Vec::new() };
+        let mut draw = Draw { script, rng, plan, removed: Vec::new(), pauses: Vec::new() };
         for i in 0..first {
-            let at = time(&mut draw.rng, fleet.start);
-            draw.act(at, Doing::Start(i), 0);
+            let at = draw_time(&mut draw.rng, fleet.start);
+            draw.push_act(at, Action::Start(i), 0);
         }
-        // Until all have started and heard of one another, nobody has to know anybody.
-        let met = Duration::from_secs_f64(fleet.start.1) + draw.plan.longest_pause;
-        draw.plan.harms.push(Harm { from: Duration::ZERO, until: met, members: (0..first).collect() });
+        // No member has to know another until all have started and learned of one another.
+        let known_by = Duration::from_secs_f64(fleet.start.1) + draw.plan.longest_pause;
+        draw.plan.harms.push(Harm { from: Duration::ZERO, until: known_by, members: (0..first).collect() });
         for (i, fault) in script.faults.iter().enumerate() {
-            let times = fault.times.map_or(1, |t| span(&mut draw.rng, t).round() as usize);
-            let mut at = time(&mut draw.rng, fault.at);
+            let times = fault.times.map_or(1, |t| draw_number(&mut draw.rng, t).round() as usize);
+            let mut at = draw_time(&mut draw.rng, fault.at);
             for _ in 0..times {
-                let ends = draw.fault(i, fault, at);
+                let ends = draw.add_fault(i, fault, at);
                 at = match fault.every {
-                    Some(every) => ends + time(&mut draw.rng, every),
-                    None => time(&mut draw.rng, fault.at),
+                    Some(every) => ends + draw_time(&mut draw.rng, every),
+                    None => draw_time(&mut draw.rng, fault.at),
                 };
             }
         }
-        for (i, word) in script.words.iter().enumerate() {
-            draw.word(i, word);
+        for (i, section) in script.words.iter().enumerate() {
+            draw.add_command(i, section);
         }
-        draw.judge_pauses();
+        draw.add_pause_harms();
         let mut plan = draw.plan;
         plan.acts.sort_by_key(|act| act.at);
         for harm in &mut plan.harms {
@@ -366,12 +370,13 @@
         plan
     }
 
-    /// How long after a fault its harm may still show: suspicion runs out, and what was wronged is put right.
+    /// Returns how long the effects of a fault may last after its end: suspicions time out, and wrong states are
+    /// corrected.
     fn aftermath(&self) -> Duration {
         self.longest_pause * 6 + Duration::from_secs(3)
     }
 
-    /// Whether a member may rightly look gone, or not know, at this time.
+    /// Returns whether a member may legitimately appear dead or lack information at this time.
     pub fn harmed(&self, member: usize, at: Duration) -> bool {
         let now = |harm: &&Harm| harm.from <= at && at <= harm.until;
         self.harms.iter().filter(now).any(|harm| harm.members.binary_search(&member).is_ok())
@@ -379,11 +384,11 @@
 }
 
 impl Draw<'_> {
-    fn act(&mut self, at: Duration, doing: Doing, line: usize) {
-        self.plan.acts.push(Act { at, doing, line });
+    fn push_act(&mut self, at: Duration, action: Action, line: usize) {
+        self.plan.acts.push(Act { at, action, line });
     }
 
-    fn harm(&mut self, from: Duration, until: Duration, members: Vec<usize>) {
+    fn add_harm(&mut self, from: Duration, until: Duration, members: Vec<usize>) {
         let until = until + self.plan.aftermath();
         self.plan.harms.push(Harm { from, until, members });
     }
@@ -396,19 +401,19 @@
         self.plan.members.iter().position(|m| m.name == name)
     }
 
-    /// Whom a fault of processes hits.
+    /// Draws the members that a process fault affects.
     fn targets(&mut self, fault: &Fault) -> Vec<usize> {
         if let Some(zone) = fault.target.as_deref().and_then(|target| target.strip_prefix("zone:")) {
             let zone = self.plan.zones.iter().position(|known| known == zone);
-            let there = |i: &usize| Some(self.plan.members[*i].zone) == zone && !self.spent.contains(i);
+            let there = |i: &usize| Some(self.plan.members[*i].zone) == zone && !self.removed.contains(i);
             return (0..self.plan.first).filter(there).collect();
         }
         if let Some(name) = &fault.target {
             return self.named(name).into_iter().collect();
         }
-        let mut free: Vec<usize> = (0..self.plan.first).filter(|i| !self.spent.contains(i)).collect();
+        let mut free: Vec<usize> = (0..self.plan.first).filter(|i| !self.removed.contains(i)).collect();
         let most = match fault.share {
-            Some(share) => (span(&mut self.rng, share) * self.plan.first as f64).round() as usize,
+            Some(share) => (draw_number(&mut self.rng, share) * self.plan.first as f64).round() as usize,
             None => 1,
         };
         let mut picked = Vec::new();
@@ -421,13 +426,14 @@
         picked
     }
 
-    /// Whom a word of a fault of wires means (a name, `zone:NAME`, `all`, `rest`, `one`, `seeds`, `keepers`); `other` is whom the other word means.
-    fn group(&mut self, word: &str, other: &[usize]) -> Vec<usize> {
-        match word {
+    /// Resolves the `from` or `to` of a link fault (a name, `zone:NAME`, `all`, `rest`, `one`, `seeds`, `keepers`);
+    /// `opposite` holds the members of the opposite side.
+    fn resolve_group(&mut self, selector: &str, opposite: &[usize]) -> Vec<usize> {
+        match selector {
             "all" => self.all(),
-            "rest" => self.all().into_iter().filter(|i| !other.contains(i)).collect(),
+            "rest" => self.all().into_iter().filter(|i| !opposite.contains(i)).collect(),
             "one" => {
-                let free: Vec<usize> = self.all().into_iter().filter(|i| !other.contains(i)).collect();
+                let free: Vec<usize> = self.all().into_iter().filter(|i| !opposite.contains(i)).collect();
                 if free.is_empty() { Vec::new() } else { vec![free[self.rng.usize(..free.len())]] }
             }
             "seeds" => (0..self.plan.seeds).collect(),
@@ -435,103 +441,107 @@
                 let keepers = self.plan.budget.as_ref().map_or(self.plan.keepers, |budget| budget.keepers);
                 (0..keepers).collect()
             }
-            word => match word.strip_prefix("zone:") {
+            selector => match selector.strip_prefix("zone:") {
                 Some(zone) => {
                     let zone = self.plan.zones.iter().position(|z| z == zone);
                     self.all().into_iter().filter(|&i| Some(self.plan.members[i].zone) == zone).collect()
                 }
-                None => self.named(word).into_iter().collect(),
+                None => self.named(selector).into_iter().collect(),
             },
         }
     }
 
-    /// Draws a word, as often as it is said.
-    fn word(&mut self, number: usize, word: &WordSection) {
-        let times = word.times.map_or(1, |t| span(&mut self.rng, t).round() as usize);
-        let mut at = time(&mut self.rng, word.at);
+    /// Draws an operator command, once for each time that it is sent.
+    fn add_command(&mut self, number: usize, section: &CommandSection) {
+        let times = section.times.map_or(1, |t| draw_number(&mut self.rng, t).round() as usize);
+        let mut at = draw_time(&mut self.rng, section.at);
         for turn in 0..times {
-            let named = word.door.as_deref().and_then(|door| self.named(door));
+            let named = section.door.as_deref().and_then(|door| self.named(door));
             let door = named.unwrap_or_else(|| self.rng.usize(..self.plan.first));
             let id = 1 + self.rng.u64(..u64::MAX - 1);
-            let spoken = Spoken {
-                say: word.say,
+            let command = OperatorCommand {
+                say: section.say,
                 id,
-                text: format!("version = 1\n{}\n# {number} {turn} of {}\n", word.text.trim(), self.plan.seed),
-                number: word.number.unwrap_or(0),
-                server: word.server.clone(),
-                waves: word.waves.clone(),
+                text: format!(
+                    "version = 1\n{}\n# {number} {turn} of {}\n",
+                    section.text.trim(),
+                    self.plan.seed
+                ),
+                number: section.number.unwrap_or(0),
+                server: section.server.clone(),
+                waves: section.waves.clone(),
             };
-            self.act(at, Doing::Say(door, spoken), 0);
-            at += word.every.map_or(Duration::from_secs(1), |t| time(&mut self.rng, t));
+            self.push_act(at, Action::Command(door, command), 0);
+            at += section.every.map_or(Duration::from_secs(1), |t| draw_time(&mut self.rng, t));
         }
     }
 
-    /// Draws one coming of a fault; when it ends.
-    fn fault(&mut self, number: usize, fault: &Fault, at: Duration) -> Duration {
+    /// Draws one occurrence of a fault and returns its end.
+    fn add_fault(&mut self, number: usize, fault: &Fault, at: Duration) -> Duration {
         let line = self.script.lines.get(number).copied().unwrap_or(0);
-        let until = at + fault.lasting.map_or(Duration::ZERO, |t| time(&mut self.rng, t));
+        let until = at + fault.lasting.map_or(Duration::ZERO, |t| draw_time(&mut self.rng, t));
         let pause = self.plan.longest_pause;
         match fault.kind {
             Kind::Pause => {
                 for i in self.targets(fault) {
-                    self.act(at, Doing::Stop(i), line);
-                    self.act(until, Doing::GoOn(i), line);
+                    self.push_act(at, Action::Stop(i), line);
+                    self.push_act(until, Action::Continue(i), line);
                     self.pauses.push((i, at, until));
                 }
             }
             Kind::Kill | Kind::Terminate => {
                 for i in self.targets(fault) {
-                    self.spent.push(i);
+                    self.removed.push(i);
                     let leaves = fault.kind == Kind::Terminate;
-                    self.act(at, if leaves { Doing::Terminate(i) } else { Doing::Kill(i) }, line);
+                    self.push_act(at, if leaves { Action::Terminate(i) } else { Action::Kill(i) }, line);
                 }
             }
             Kind::Restart => {
                 let mut last = at;
                 for i in self.targets(fault) {
-                    let back = at + fault.after.map_or(Duration::ZERO, |t| time(&mut self.rng, t));
-                    self.act(at, Doing::Kill(i), line);
+                    let restart_at = at + fault.after.map_or(Duration::ZERO, |t| draw_time(&mut self.rng, t));
+                    self.push_act(at, Action::Kill(i), line);
                     if fault.longest_pause.is_some() || fault.rate.is_some() {
-                        let other = Other {
-                            longest_pause: fault.longest_pause.map(|t| time(&mut self.rng, t)),
-                            rate: fault.rate.map(|rate| span(&mut self.rng, rate)),
+                        let other = SettingsOverride {
+                            longest_pause: fault.longest_pause.map(|t| draw_time(&mut self.rng, t)),
+                            rate: fault.rate.map(|rate| draw_number(&mut self.rng, rate)),
                         };
-                        self.act(back, Doing::File(i, other), line);
+                        self.push_act(restart_at, Action::ChangeSettings(i, other), line);
                     }
-                    self.act(back, Doing::Start(i), line);
-                    self.harm(at, back, vec![i]);
-                    last = last.max(back);
+                    self.push_act(restart_at, Action::Start(i), line);
+                    self.add_harm(at, restart_at, vec![i]);
+                    last = last.max(restart_at);
                 }
                 return last;
             }
             Kind::Join => {
-                let count = fault.count.map_or(1, |c| span(&mut self.rng, c).round() as usize);
+                let count = fault.count.map_or(1, |c| draw_number(&mut self.rng, c).round() as usize);
                 for _ in 0..count {
-                    let i = self.add(|n| format!("m{}", n + 1));
-                    self.act(at, Doing::Start(i), line);
-                    let met = at + pause;
-                    self.plan.harms.push(Harm { from: at, until: met, members: vec![i] });
+                    let i = self.add_member(|n| format!("m{}", n + 1));
+                    self.push_act(at, Action::Start(i), line);
+                    let known_by = at + pause;
+                    self.plan.harms.push(Harm { from: at, until: known_by, members: vec![i] });
                 }
             }
             Kind::Twin => {
                 for of in self.targets(fault) {
                     let name = self.plan.members[of].name.clone();
-                    let i = self.add(|_| name);
-                    self.spent.push(of);
-                    self.act(at, Doing::Start(i), line);
-                    self.harm(at, self.plan.length, vec![i, of]);
+                    let i = self.add_member(|_| name);
+                    self.removed.push(of);
+                    self.push_act(at, Action::Start(i), line);
+                    self.add_harm(at, self.plan.length, vec![i, of]);
                 }
             }
             Kind::Usurp => {
                 for of in self.targets(fault) {
                     let place = self.plan.members[of].place;
-                    let i = self.add(|n| format!("m{}", n + 1));
+                    let i = self.add_member(|n| format!("m{}", n + 1));
                     self.plan.members[i].place = place;
-                    self.spent.push(of);
-                    let back = at + fault.after.map_or(Duration::ZERO, |t| time(&mut self.rng, t));
-                    self.act(at, Doing::Kill(of), line);
-                    self.act(back, Doing::Start(i), line);
-                    self.harm(at, back, vec![i, of]);
+                    self.removed.push(of);
+                    let restart_at = at + fault.after.map_or(Duration::ZERO, |t| draw_time(&mut self.rng, t));
+                    self.push_act(at, Action::Kill(of), line);
+                    self.push_act(restart_at, Action::Start(i), line);
+                    self.add_harm(at, restart_at, vec![i, of]);
                 }
             }
             Kind::Cut
@@ -541,7 +551,7 @@
             | Kind::Turned
             | Kind::Reset
             | Kind::Throttle => {
-                self.wire(number, fault, at, until, line);
+                self.add_link_fault(number, fault, at, until, line);
             }
             Kind::Split => {
                 let mut order = self.all();
@@ -554,13 +564,13 @@
                     sides.push(order[from..to].to_vec());
                     from = to;
                 }
-                self.part(number, &sides, at, until, line);
+                self.add_partition(number, &sides, at, until, line);
             }
             Kind::Zone => {
                 let zone = self.plan.zones.iter().position(|z| Some(z) == fault.target.as_ref());
                 let (inside, outside) =
                     self.all().into_iter().partition(|&i| Some(self.plan.members[i].zone) == zone);
-                self.part(number, &[inside, outside], at, until, line);
+                self.add_partition(number, &[inside, outside], at, until, line);
             }
             Kind::Region => {
                 let network = self.plan.network.as_ref();
@@ -569,34 +579,35 @@
                     network.and_then(|n| n.region_of_zone.get(self.plan.members[*i].zone).copied())
                 };
                 let (inside, outside) = self.all().into_iter().partition(|i| region(i) == target);
-                self.part(number, &[inside, outside], at, until, line);
+                self.add_partition(number, &[inside, outside], at, until, line);
             }
             Kind::Busy | Kind::Descriptors => {
-                let usual = if fault.kind == Kind::Busy { 2 } else { 24 };
-                let count = fault.count.map_or(usual, |c| span(&mut self.rng, c).round() as u32);
+                let default_count = if fault.kind == Kind::Busy { 2 } else { 24 };
+                let count =
+                    fault.count.map_or(default_count, |c| draw_number(&mut self.rng, c).round() as u32);
                 for i in self.targets(fault) {
-                    let doing = |count| match fault.kind {
-                        Kind::Busy => Doing::Busy(i, count),
-                        _ => Doing::Descriptors(i, count),
+                    let action = |count| match fault.kind {
+                        Kind::Busy => Action::Busy(i, count),
+                        _ => Action::Descriptors(i, count),
                     };
-                    self.act(at, doing(count), line);
-                    self.act(until, doing(0), line);
+                    self.push_act(at, action(count), line);
+                    self.push_act(until, action(0), line);
                 }
             }
             Kind::Garbage => {
-                let count = fault.count.map_or(1000, |c| span(&mut self.rng, c).round() as u32);
+                let count = fault.count.map_or(1000, |c| draw_number(&mut self.rng, c).round() as u32);
                 for i in self.targets(fault) {
-                    self.act(at, Doing::Garbage(i, count), line);
-                    self.act(until, Doing::Garbage(i, 0), line);
+                    self.push_act(at, Action::Garbage(i, count), line);
+                    self.push_act(until, Action::Garbage(i, 0), line);
                 }
             }
         }
         until
     }
 
-    /// A pause harms its member if it is longer than the longest to bear. One that follows on another before the member
-    /// can have been heard of again is one with it.
-    fn judge_pauses(&mut self) {
+    /// Records a harm for each pause that exceeds the longest tolerated one. A pause that begins before the member
+    /// can have been seen again after the previous one counts as one pause with it.
+    fn add_pause_harms(&mut self) {
         let mut pauses = std::mem::take(&mut self.pauses);
         pauses.sort_unstable();
         let mut joined: Vec<(usize, Duration, Duration)> = Vec::new();
@@ -610,77 +621,90 @@
         }
         for (i, from, until) in joined {
             if until - from > self.plan.longest_pause {
-                self.harm(from, until, vec![i]);
+                self.add_harm(from, until, vec![i]);
             }
         }
     }
 
-    fn add(&mut self, name: impl FnOnce(usize) -> String) -> usize {
+    fn add_member(&mut self, name: impl FnOnce(usize) -> String) -> usize {
         let n = self.plan.members.len();
         let zone = n % self.plan.zones.len();
         self.plan.members.push(MemberPlan { name: name(n), zone, place: n });
         n
     }
 
-    /// Nothing passes between sides. Danger of judging: the sides rightly call each other gone.
-    fn part(&mut self, number: usize, sides: &[Vec<usize>], at: Duration, until: Duration, line: usize) {
-        let cut = Wire { cut: true, ..Wire::default() };
+    /// Drops all traffic between the groups. All members are marked as harmed, because the groups legitimately
+    /// declare each other dead.
+    fn add_partition(
+        &mut self,
+        number: usize,
+        sides: &[Vec<usize>],
+        at: Duration,
+        until: Duration,
+        line: usize,
+    ) {
+        let cut = LinkFault { cut: true, ..LinkFault::default() };
         for (a, b) in sides.iter().enumerate().flat_map(|(i, a)| {
             sides.iter().enumerate().filter(move |(j, _)| i != *j).map(move |(_, b)| (a, b))
         }) {
-            self.act(at, Doing::Wire(number, a.clone(), b.clone(), Some(cut)), line);
-            self.act(until, Doing::Wire(number, a.clone(), b.clone(), None), line);
+            self.push_act(at, Action::LinkFault(number, a.clone(), b.clone(), Some(cut)), line);
+            self.push_act(until, Action::LinkFault(number, a.clone(), b.clone(), None), line);
         }
         let all = self.all();
-        self.harm(at, until, all);
+        self.add_harm(at, until, all);
     }
 
-    fn wire(&mut self, number: usize, fault: &Fault, at: Duration, until: Duration, line: usize) {
+    fn add_link_fault(&mut self, number: usize, fault: &Fault, at: Duration, until: Duration, line: usize) {
         let (from, to) = (fault.from.clone().unwrap_or_default(), fault.to.clone().unwrap_or_default());
-        // `rest` and `one` mean others than the other word, so that one is read first.
-        let later = |word: &str| matches!(word, "rest" | "one");
-        let (from, to) = if later(&from) && !later(&to) {
-            let to = self.group(&to, &[]);
-            (self.group(&from, &to), to)
+        // `rest` and `one` exclude the members of the opposite side, so the opposite side is resolved first.
+        let depends_on_other = |word: &str| matches!(word, "rest" | "one");
+        let (from, to) = if depends_on_other(&from) && !depends_on_other(&to) {
+            let to = self.resolve_group(&to, &[]);
+            (self.resolve_group(&from, &to), to)
         } else {
-            let from = self.group(&from, &[]);
-            let to = self.group(&to, &from);
+            let from = self.resolve_group(&from, &[]);
+            let to = self.resolve_group(&to, &from);
             (from, to)
         };
-        let share = fault.share.map_or(0.0, |s| span(&mut self.rng, s));
-        let mut wire = Wire::default();
+        let share = fault.share.map_or(0.0, |s| draw_number(&mut self.rng, s));
+        let mut effect = LinkFault::default();
         match fault.kind {
-            Kind::Cut => wire.cut = true,
-            Kind::Loss => wire.loss = share,
-            Kind::Copies => wire.copies = share,
-            Kind::Turned => wire.turned = share,
-            Kind::Reset => wire.reset = true,
-            Kind::Throttle => wire.pace = fault.count.map_or(0.0, |count| span(&mut self.rng, count)),
+            Kind::Cut => effect.cut = true,
+            Kind::Loss => effect.loss = share,
+            Kind::Copies => effect.copies = share,
+            Kind::Turned => effect.turned = share,
+            Kind::Reset => effect.reset = true,
+            Kind::Throttle => {
+                effect.pace = fault.count.map_or(0.0, |count| draw_number(&mut self.rng, count))
+            }
             _ => {
-                wire.delay = fault.delay.map_or(Duration::ZERO, |t| time(&mut self.rng, t));
-                wire.jitter = fault.jitter.map_or(Duration::ZERO, |t| time(&mut self.rng, t));
+                effect.delay = fault.delay.map_or(Duration::ZERO, |t| draw_time(&mut self.rng, t));
+                effect.jitter = fault.jitter.map_or(Duration::ZERO, |t| draw_time(&mut self.rng, t));
             }
         }
-        let ways = if fault.both { vec![(&from, &to), (&to, &from)] } else { vec![(&from, &to)] };
-        for (from, to) in ways {
-            self.act(at, Doing::Wire(number, from.clone(), to.clone(), Some(wire)), line);
-            self.act(until, Doing::Wire(number, from.clone(), to.clone(), None), line);
+        let directions = if fault.both { vec![(&from, &to), (&to, &from)] } else { vec![(&from, &to)] };
+        for (from, to) in directions {
+            self.push_act(at, Action::LinkFault(number, from.clone(), to.clone(), Some(effect)), line);
+            self.push_act(until, Action::LinkFault(number, from.clone(), to.clone(), None), line);
         }
-        // A cut of one pair harms nobody; one of many harms the few that are cut off; lost words up to a tenth, and
-        // lateness well under a probe's patience, harm nobody.
-        let patience = self.plan.longest_pause / 20;
-        let broad = wire.pace == 0.0 || wire.pace >= BROAD;
-        let mild = wire.loss <= 0.1 && wire.turned <= 0.1 && wire.delay + wire.jitter <= patience && broad;
-        match wire.cut {
+        // A cut of one pair harms no member; a cut of several pairs harms the smaller side. Loss or corruption of up to
+        // a tenth of the datagrams, and delays well under the timeout of a probe, harm no member.
+        let harmless_delay = self.plan.longest_pause / 20;
+        let ample = effect.pace == 0.0 || effect.pace >= MIN_HARMLESS_BYTES_PER_SECOND;
+        let mild = effect.loss <= 0.1
+            && effect.turned <= 0.1
+            && effect.delay + effect.jitter <= harmless_delay
+            && ample;
+        match effect.cut {
             true if from.len() == 1 && to.len() == 1 => {}
             true => {
                 let harmed = if from.len() < to.len() { from } else { to };
-                self.harm(at, until, harmed);
+                self.add_harm(at, until, harmed);
             }
             false if mild => {}
             false => {
                 let all = self.all();
-                self.harm(at, until, all);
+                self.add_harm(at, until, all);
             }
         }
     }
