--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -5,7 +5,7 @@
 use cometcroft_emulator::share::{Divide, ShareReport};
 use cometcroft_membership::Features;
 use cometcroft_rig::{Options, Outcomes, RigReport, RigShare};
-use cometcroft_script::{Broken, Plan, SHIPPED, Script};
+use cometcroft_script::{Plan, SHIPPED, Script, Violation};
 use cometcroft_tomlfile::{Span, Time};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::error::Error;
@@ -238,7 +238,7 @@
 }
 
 /// Formats violations, one per line.
-fn format_violations(violations: &[Broken]) -> String {
+fn format_violations(violations: &[Violation]) -> String {
     violations.iter().map(|violation| format!("broken: {violation}\n")).collect()
 }
 
