--- a/crates/hollow/src/real.rs
+++ b/crates/hollow/src/real.rs
@@ -9,7 +9,7 @@
 use crate::protocol::FleetSettings;
 use crate::report::RealReport;
 use crate::spread::Spread;
-use cometcroft_rig::{Backends, Guard, Process, free_addresses, sidecar_settings};
+use cometcroft_rig::{Guard, Process, StubEndpoints, free_addresses, sidecar_settings};
 use serde_json::json;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -62,7 +62,7 @@
         let zones: Vec<String> = (0..zones).map(zone_name).collect();
         // Beyond the hosts that members have.
         let backends = Ipv4Addr::from(u32::from(address(0)) | 0xff);
-        let backends = runtime.block_on(Backends::start(backends, 1, &zones, WORK))?;
+        let backends = runtime.block_on(StubEndpoints::start(backends, 1, &zones, WORK))?;
         let files = Files(std::env::temp_dir().join(format!("cometcroft-hollow-{}", std::process::id())));
         let guard = Guard::start()?;
         let mut sidecars = Vec::new();
@@ -103,7 +103,7 @@
 
 impl RealSidecar {
     fn measure(&mut self) -> Option<(f64, u64)> {
-        if self.process.ended().is_some() {
+        if self.process.exit_status().is_some() {
             return None;
         }
         let (began, before) = self.rest_began?;
--- a/crates/lab/src/chart.rs
+++ b/crates/lab/src/chart.rs
@@ -1,12 +1,12 @@
 //! Charts as SVG.
 
-use cometcroft_rig::RigShare;
+use cometcroft_rig::BudgetReport;
 use plotters::prelude::*;
 use std::error::Error;
 use std::path::Path;
 
 /// The sum of the parts of a shared budget and what the backend servers received, against the whole.
-pub fn shared(path: &Path, title: &str, share: &RigShare) -> Result<(), Box<dyn Error>> {
+pub fn shared(path: &Path, title: &str, share: &BudgetReport) -> Result<(), Box<dyn Error>> {
     let last = share.line.last().map_or(1.0, |(at, ..)| at.max(1.0));
     // What was received is told about four times a second; a mean over a second is what the rate means.
     let received: Vec<(f64, f64)> = share
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -4,7 +4,7 @@
 use cometcroft_emulator::fleet::{FleetReport, FleetRun};
 use cometcroft_emulator::share::{Divide, ShareReport};
 use cometcroft_membership::Features;
-use cometcroft_rig::{Options, Outcomes, RigReport, RigShare};
+use cometcroft_rig::{BudgetReport, Options, Outcomes, RigReport};
 use cometcroft_script::{Broken, Plan, SHIPPED, Script};
 use cometcroft_tomlfile::{Span, Time};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -180,7 +180,7 @@
             let script = Script::find(&script)?;
             let seed = seed.or(script.fleet.seed).unwrap_or(1);
             let plan = Plan::draw(&script, seed, processes.map(usize::from));
-            let options = Options { program: program(said)?, logs, backends: 3, until: None };
+            let options = Options { program: program(said)?, logs, endpoints: 3, stop: None };
             let report = cometcroft_rig::run(&plan, &options, &mut progress())?;
             if json {
                 println!("{}", serde_json::to_string_pretty(&report)?);
@@ -268,7 +268,7 @@
 }
 
 /// The sum of the parts and what the backend servers received, second by second, against the whole.
-fn line(share: &RigShare) -> String {
+fn line(share: &BudgetReport) -> String {
     let width = 50.0;
     let mut text = String::new();
     let last = share.line.last().map_or(0.0, |(at, ..)| *at) as u64;
@@ -463,7 +463,7 @@
     let stop = Arc::new(AtomicBool::new(false));
     let told = stop.clone();
     ctrlc::set_handler(move || told.store(true, Ordering::SeqCst))?;
-    let options = Options { program, logs: None, backends: 3, until: Some(stop) };
+    let options = Options { program, logs: None, endpoints: 3, stop: Some(stop) };
     let (terminal, mut last, mut drawn) = (std::io::stdout().is_terminal(), Duration::ZERO, 0);
     println!(
         "a fleet of {processes} with stand-ins; {:.0} requests a second each; Ctrl-C ends it",
--- a/crates/latency/src/sidecar.rs
+++ b/crates/latency/src/sidecar.rs
@@ -77,7 +77,7 @@
 fn wait_until_ready(sidecar: usize, listen: SocketAddr, process: &mut Process) -> Result<(), Error> {
     let give_up_at = Instant::now() + READY_TIMEOUT;
     while Instant::now() < give_up_at {
-        if let Some(status) = process.ended() {
+        if let Some(status) = process.exit_status() {
             return Err(Error::Exited { sidecar, status });
         }
         if is_ready(listen).unwrap_or(false) {
--- a/crates/latency/src/stub.rs
+++ b/crates/latency/src/stub.rs
@@ -3,7 +3,7 @@
 
 use crate::load::{header, request_head};
 use cometcroft_platform::{Platform, RetryingStream, Tokio};
-use cometcroft_rig::{discovery, hear};
+use cometcroft_rig::{read_message, stub_discovery};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -120,7 +120,7 @@
         let address = listener.local_addr()?;
         Tokio.detach(accept(listener, Rc::new(role)));
         addresses.0.push(address);
-        addresses.1.push(discovery(options.ip, &[(address, options.zone.clone())]).await?);
+        addresses.1.push(stub_discovery(options.ip, &[(address, options.zone.clone())]).await?);
     }
     // The send fails only if `Stubs::start` no longer waits for the addresses.
     let _ = started.send(Ok(addresses));
@@ -154,7 +154,7 @@
 async fn serve(mut stream: TcpStream, role: &Role) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut unread = Vec::new();
-    while let Some(request) = hear(&mut stream, &mut unread).await? {
+    while let Some(request) = read_message(&mut stream, &mut unread).await? {
         let status = respond(&request, role).await;
         let body = r#"{"inflight":1,"queue":0}"#;
         let head = format!("HTTP/1.1 {status} Answered\r\nContent-Length: {}\r\n\r\n", body.len());
@@ -218,7 +218,7 @@
         self.sent.set(self.sent.get() + 1);
         let id = id ^ (self.sent.get() << 32);
         stream.write_all(request_head(id, deadline).as_bytes()).await?;
-        let response = hear(&mut stream, &mut Vec::new()).await?;
+        let response = read_message(&mut stream, &mut Vec::new()).await?;
         let head = response.ok_or(io::ErrorKind::UnexpectedEof)?.to_ascii_lowercase();
         if header(&head, "connection") != Some("close") {
             self.idle.borrow_mut().push(stream);
--- a/crates/listfaults/src/processes.rs
+++ b/crates/listfaults/src/processes.rs
@@ -124,7 +124,7 @@
 
     /// Those that have ended.
     pub fn ended(&mut self) -> Vec<(SidecarId, ExitStatus)> {
-        let ended = |sidecar: &mut Sidecar| sidecar.process.ended().map(|status| (sidecar.id, status));
+        let ended = |sidecar: &mut Sidecar| sidecar.process.exit_status().map(|status| (sidecar.id, status));
         self.sidecars.iter_mut().filter_map(ended).collect()
     }
 
@@ -162,7 +162,7 @@
 
     fn wait_until_ready(&mut self, until: Instant) -> Result<(), Error> {
         while Instant::now() < until {
-            if let Some(status) = self.process.ended() {
+            if let Some(status) = self.process.exit_status() {
                 return Err(Error::Ended { sidecar: self.id, status });
             }
             if self.ask("/up").is_ok_and(|answer| answer.starts_with("HTTP/1.1 200")) {
@@ -180,7 +180,7 @@
         fs::write(&new, self.config.to_string())?;
         fs::rename(&new, &self.file)?;
         // Danger: the id of a process that was waited for may be another's by now.
-        if self.process.ended().is_none()
+        if self.process.exit_status().is_none()
             && let Some(pid) = Pid::from_raw(self.process.id() as i32)
         {
             kill_process(pid, Signal::HUP)?;
--- a/crates/rig/src/addresses.rs
+++ b/crates/rig/src/addresses.rs
@@ -1,15 +1,15 @@
-//! Loopback addresses for processes that are about to start.
+//! Free loopback addresses for processes that are about to start.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 use tokio::net::TcpSocket;
 
-/// Addresses of `ip` with ports that the system picks; no two of one call are equal. Nothing else may listen at `ip`: from
-/// now on nobody holds the ports.
+/// Returns `count` different addresses at `ip`, with ports that the system picks. The ports are not reserved after the
+/// call, so nothing else may listen at `ip`.
 ///
-/// The sockets that reserve them never listen, and they allow their addresses to be reused. A process that another thread
-/// forks in this moment inherits them until its own exec; a listening socket would make the process that is to listen
-/// there fail with EADDRINUSE meanwhile.
+/// The sockets that hold the ports during the call never listen, and they allow their addresses to be reused. A process
+/// that another thread forks at this moment inherits them until its exec; with a listening socket, the process that is
+/// to listen at the address would fail with EADDRINUSE until then.
 pub fn free_addresses(ip: Ipv4Addr, count: usize) -> io::Result<Vec<SocketAddr>> {
     let reserved: io::Result<Vec<TcpSocket>> = (0..count).map(|_| reserve(ip)).collect();
     reserved?.iter().map(TcpSocket::local_addr).collect()
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -1,11 +1,11 @@
-//! A fleet of real processes under a script: acts at their times, looks through the operators' doors, changes from the
-//! logs, one judge.
+//! Runs a fault script on a fleet of real processes: applies the scripted acts at their times, polls the operations
+//! endpoints, reads state changes from the logs, and passes everything to one checker.
 
 use crate::addresses::free_addresses;
-use crate::load::{Ended, Outcomes, request};
+use crate::load::{Outcomes, RequestOutcome, request};
 use crate::process::{Guard, Process};
 use crate::relay::Relay;
-use crate::standin::{Backends, hear};
+use crate::stubs::{StubEndpoints, read_message};
 use cometcroft_script::{
     Act, Broken, Doing, Judge, Look, Other, Plan, PlanLook, Rule, Say, Spoken, Wires, same_plans,
 };
@@ -21,185 +21,204 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Doors are asked so often.
-const LOOK: Duration = Duration::from_millis(250);
-/// A door that has not answered by then is asked again later.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// How much longer things may take than by the protocol, as the machine has other work.
-const SLACK: f64 = 3.0;
-/// Views have to be equal and true so long after the last act, at the latest.
-const EVENTUALLY: Duration = Duration::from_secs(45);
-/// A process that was asked to leave has to be gone by then.
-const LEAVE: Duration = Duration::from_secs(15);
-/// Members that the rig plays at most.
-const MOST: usize = 60;
-
-/// How a fleet is run.
+/// Interval at which the operations endpoints are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of one poll; a member that did not respond in time is polled again in the next round.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Factor by which the protocol's time limits are extended, because the machine is shared with other work.
+const TIMING_FACTOR: f64 = 3.0;
+/// Time after the last act within which all views must be equal and correct.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(45);
+/// Time within which a process must exit after SIGTERM.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
+/// Largest number of members that the rig can run.
+const MAX_MEMBERS: usize = 60;
+
+/// Options of a run.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The program `cometcroft`.
+    /// Path of the `cometcroft` executable.
     pub program: PathBuf,
-    /// Where logs are kept, if anywhere.
+    /// Directory in which the logs of the processes are kept, if they are kept.
     pub logs: Option<PathBuf>,
-    /// Backend servers.
-    pub backends: usize,
-    /// Go on after the last act until somebody says stop, instead of until all views are equal.
-    pub until: Option<Arc<AtomicBool>>,
+    /// Number of stub endpoints.
+    pub endpoints: usize,
+    /// If set, the run continues after the last act until the flag is true, instead of until all views are equal.
+    pub stop: Option<Arc<AtomicBool>>,
 }
 
-/// What is told while it runs: the time, and a line for each member.
-pub type Watch<'a> = &'a mut dyn FnMut(Duration, &[String], Outcomes);
+/// Callback that receives the progress of a run: the elapsed time, a status line for each member, and the requests so
+/// far.
+pub type Progress<'a> = &'a mut dyn FnMut(Duration, &[String], Outcomes);
 
-/// The tenant whose requests share the budget.
+/// Tenant whose requests share the budget.
 const TENANT: &str = "shared";
-/// So much later than they were admitted requests may come to a backend server on a busy machine: what the bound on their
-/// sum allows for.
-const SEEN_LATE: Duration = Duration::from_secs(1);
-/// A first byte that went out before a door told that its server is clear arrives by then.
-const ON_ITS_WAY: Duration = Duration::from_millis(300);
-/// A word's answer is waited for so long.
-const ANSWERED: Duration = Duration::from_secs(12);
-/// Requests that may be in work beyond the level: counted by another process than admits them.
-const BEYOND: u64 = 2;
-
-/// What a shared budget came to, by what the backend servers received.
+/// Maximum delay between the admission of a request and its arrival at an endpoint on a busy machine. The bound on the
+/// number of admitted requests allows for it.
+const MAX_ARRIVAL_DELAY: Duration = Duration::from_secs(1);
+/// Time within which a first byte reaches an endpoint if it was sent before the plan status showed the endpoint as
+/// clear.
+const MAX_FIRST_BYTE_DELAY: Duration = Duration::from_millis(300);
+/// Timeout of an operator command.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(12);
+/// Number of requests by which the observed concurrency may exceed the limit, because the process that counts the
+/// requests is not the one that admits them.
+const CONCURRENCY_TOLERANCE: u64 = 2;
+
+/// Usage of a shared budget, as seen by the stub endpoints.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct RigShare {
-    /// Requests they received.
+pub struct BudgetReport {
+    /// Number of requests that the endpoints received.
     pub received: u64,
-    /// Of what the whole allowed, once the fleet had started.
+    /// Fraction of the rate limit that was used, counted from the end of the start-up period.
     pub used: f64,
-    /// The most in work at once, and the level.
+    /// Peak number of concurrent requests, and the concurrency limit.
     pub open: (u64, u64),
-    /// About four times a second: seconds, the sum of the parts as the doors told them one after another, requests a second.
+    /// Samples, about four a second: seconds since the start, the sum of the shares that the members reported (polled
+    /// one after another), and the received requests per second.
     pub line: Vec<(f64, f64, f64)>,
-    /// The whole, a second.
+    /// Rate limit in requests per second.
     pub whole: f64,
 }
 
-/// What came of a run.
+/// Report of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct RigReport {
-    /// The script.
+    /// Name of the script.
     pub script: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Processes at the beginning.
+    /// Number of processes at the start.
     pub processes: usize,
-    /// Seconds it took.
+    /// Duration in seconds.
     pub seconds: f64,
-    /// For each that died: until the first, and until all others knew.
+    /// For each member that was killed or terminated and not started again: seconds until the first and until the last
+    /// of the others knew.
     pub known_s: Vec<(f64, f64)>,
-    /// From the last act until all views were equal and true.
+    /// Seconds from the last act until all views were equal and correct.
     pub equal_s: Option<f64>,
-    /// Requests by outcome.
+    /// Number of requests by outcome.
     pub requests: Outcomes,
-    /// Requests that the backend servers received.
+    /// Number of requests that the stub endpoints received.
     pub received: u64,
-    /// Datagrams passed on, their bytes, and those lost on purpose.
+    /// Datagrams forwarded, their bytes, and datagrams dropped on purpose.
     pub datagrams: (u64, u64, u64),
-    /// The budget that they shared, if there was one.
-    pub share: Option<RigShare>,
-    /// What came of operators' words.
+    /// Usage of the shared budget, if the script has one.
+    pub share: Option<BudgetReport>,
+    /// Results of the operator commands.
     pub words: Vec<String>,
-    /// Rules that were broken.
+    /// Violated invariants.
     pub broken: Vec<Broken>,
-    /// Processes that ended as they should not have.
+    /// Processes that ended unexpectedly or not in time.
     pub crashed: Vec<String>,
 }
 
-struct Seat {
+struct Member {
     name: String,
     zone: String,
-    place: usize,
+    /// Index of the addresses in the relay.
+    slot: usize,
     listen: SocketAddr,
     ops: SocketAddr,
-    files: PathBuf,
+    /// Directory of the configuration and operator files.
+    dir: PathBuf,
     process: Option<Process>,
-    /// Counts what was done to it, so that a request can tell whether it was left alone.
-    touched: Arc<AtomicU32>,
+    /// Number of actions on this member that can disturb requests: starts, stops and injected faults. The load compares
+    /// it before and after a request to see whether the member was undisturbed.
+    disturbances: Arc<AtomicU32>,
     state: Arc<AtomicU8>,
-    garbage: Arc<AtomicU32>,
-    leaving: Option<Instant>,
-    /// Busy loops on its processor; each ends when it is dropped.
-    loops: Vec<Process>,
-    other: Other,
-    lives: u32,
-    last: Option<Look>,
-    line: String,
-    /// Its part of the shared rate, as its door told last.
-    part: f64,
-    /// The last that it wrote that was no event: why it ended, if it says so.
-    words: Arc<Mutex<String>>,
+    /// Rate of random datagrams sent to this member per second; 0 ends the sending.
+    garbage_rate: Arc<AtomicU32>,
+    /// When the process was sent SIGTERM.
+    leaving_since: Option<Instant>,
+    /// Busy loops on the processor of this member; each ends when it is dropped.
+    busy_loops: Vec<Process>,
+    /// Settings of the operator file that differ from those of the fleet.
+    overrides: Other,
+    /// Number of starts so far.
+    starts: u32,
+    last_status: Option<Look>,
+    status_line: String,
+    /// Share of the rate limit that the member reported last.
+    share: f64,
+    /// Last log line that is not an event; on exit, it states the reason if the process gives one.
+    last_message: Arc<Mutex<String>>,
 }
 
-/// The states of a life: over, running, stopped.
-const OVER: u8 = 0;
-const RUNS: u8 = 1;
-const STOPPED: u8 = 2;
+// States of a process, from its start to its end.
+const ENDED: u8 = 0;
+const RUNNING: u8 = 1;
+const PAUSED: u8 = 2;
 
-impl Seat {
-    fn runs(&self) -> bool {
-        self.state.load(Ordering::SeqCst) == RUNS
+impl Member {
+    fn is_running(&self) -> bool {
+        self.state.load(Ordering::SeqCst) == RUNNING
     }
 
-    fn put(&self, state: u8) {
+    fn set_state(&self, state: u8) {
         self.state.store(state, Ordering::SeqCst);
     }
 }
 
-/// A change that a member's log told: when, who saw it, whom it concerns, which start, the new state.
-type Told = (Instant, usize, u32, String, u64, String);
+/// State change from a log: time, observer, start number of the observer, name and generation of the member, new state.
+type StateChange = (Instant, usize, u32, String, u64, String);
 
-/// What came of words: when, at whose door, which, the door's answer.
-type Answers = Arc<Mutex<Vec<(Duration, usize, Spoken, Option<Value>)>>>;
+/// Responses to operator commands: time, member that was called, command, response.
+type CommandResponses = Arc<Mutex<Vec<(Duration, usize, Spoken, Option<Value>)>>>;
 
 struct Rig<'a> {
     plan: &'a Plan,
     options: &'a Options,
     guard: Guard,
     relay: Arc<Relay>,
-    backends: Backends,
-    seats: Vec<Seat>,
-    judge: Judge,
+    endpoints: StubEndpoints,
+    members: Vec<Member>,
+    checker: Judge,
     began: Instant,
     wires: Wires,
-    told: (mpsc::Sender<Told>, mpsc::Receiver<Told>),
+    changes: (mpsc::Sender<StateChange>, mpsc::Receiver<StateChange>),
+    /// For each killed or terminated member: its index, the time, and when each member knew.
     deaths: Vec<(usize, Duration, Vec<Option<Duration>>)>,
     outcomes: Arc<Mutex<Outcomes>>,
-    lost: Arc<Mutex<Vec<(usize, Duration)>>>,
+    unanswered: Arc<Mutex<Vec<(usize, Duration)>>>,
     crashed: Vec<String>,
     panics: Arc<AtomicU64>,
-    share: RigShare,
-    answers: Answers,
-    words: Vec<String>,
-    late: u64,
-    files: PathBuf,
+    budget_report: BudgetReport,
+    command_responses: CommandResponses,
+    /// Text lines for the report.
+    command_results: Vec<String>,
+    /// Requests that the endpoints received after the start-up period.
+    received_after_startup: u64,
+    dir: PathBuf,
 }
 
-static COUNT: AtomicU64 = AtomicU64::new(0);
+/// Number of runs that this process has started; gives each run its own addresses and directory.
+static RUN_COUNT: AtomicU64 = AtomicU64::new(0);
 
-/// Runs a plan on real processes.
-pub fn run(plan: &Plan, options: &Options, watch: Watch<'_>) -> io::Result<RigReport> {
-    if plan.members.len() > MOST {
-        return Err(io::Error::other(format!("the rig plays {MOST} processes at most")));
+/// Runs a plan on real processes and reports the outcome.
+pub fn run(plan: &Plan, options: &Options, progress: Progress<'_>) -> io::Result<RigReport> {
+    if plan.members.len() > MAX_MEMBERS {
+        return Err(io::Error::other(format!(
+            "the rig runs at most {MAX_MEMBERS} processes, but the script has {}",
+            plan.members.len()
+        )));
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let report = runtime.block_on(async {
         let mut rig = Rig::new(plan, options).await?;
-        let report = rig.play(watch).await;
-        let files = rig.files.clone();
+        let report = rig.play(progress).await;
+        let dir = rig.dir.clone();
         drop(rig);
-        let _ = std::fs::remove_dir_all(files);
+        let _ = std::fs::remove_dir_all(dir);
         report
     });
     runtime.shutdown_timeout(Duration::from_secs(1));
     report
 }
 
-/// A port of an address that the system picks; nobody else uses the address. Danger: what it picked before and was let
-/// go of it may pick again, for the same process.
-fn free(ip: Ipv4Addr, taken: &mut Vec<SocketAddr>) -> io::Result<SocketAddr> {
+/// Picks a port at an address that only this run uses, and adds it to `taken`. The system may pick a port again that it
+/// returned before and that is not bound any more, so ports in `taken` are skipped.
+fn free_address(ip: Ipv4Addr, taken: &mut Vec<SocketAddr>) -> io::Result<SocketAddr> {
     for _ in 0..100 {
         let at = free_addresses(ip, 1)?[0];
         if !taken.contains(&at) {
@@ -207,49 +226,49 @@
             return Ok(at);
         }
     }
-    Err(io::Error::other(format!("{ip} has no free port")))
+    Err(io::Error::other(format!("no free port at {ip}")))
 }
 
 impl<'a> Rig<'a> {
     async fn new(plan: &'a Plan, options: &'a Options) -> io::Result<Rig<'a>> {
-        // Blocks of addresses of this run alone: several runs go on side by side.
-        let run = COUNT.fetch_add(1, Ordering::Relaxed) as u32;
+        // Each run has its own block of addresses, because several runs can be active concurrently.
+        let run = RUN_COUNT.fetch_add(1, Ordering::Relaxed) as u32;
         let block = (std::process::id().wrapping_mul(31).wrapping_add(run) % (100 * 200)) as u16;
         let (b, c) = (100 + (block / 200) as u8, (block % 200) as u8);
         let own = move |i: usize| Ipv4Addr::new(127, b, c, 1 + i as u8);
-        let reached = move |i: usize| Ipv4Addr::new(127, b, c, 101 + i as u8);
-        let rest = Ipv4Addr::new(127, b, c, 250);
-        let places = plan.members.iter().map(|m| m.place + 1).max().unwrap_or(0);
-        let relay = Relay::start(places, own, reached, plan.seed).await?;
+        let advertised = move |i: usize| Ipv4Addr::new(127, b, c, 101 + i as u8);
+        let stub_ip = Ipv4Addr::new(127, b, c, 250);
+        let slots = plan.members.iter().map(|m| m.place + 1).max().unwrap_or(0);
+        let relay = Relay::start(slots, own, advertised, plan.seed).await?;
         let work = plan.budget.as_ref().map_or(Duration::from_millis(5), |budget| budget.longest / 4);
-        let backends = Backends::start(rest, options.backends, &plan.zones, work).await?;
-        let files = std::env::temp_dir().join(format!("cometcroft-rig-{}-{run}", std::process::id()));
-        std::fs::create_dir_all(&files)?;
+        let endpoints = StubEndpoints::start(stub_ip, options.endpoints, &plan.zones, work).await?;
+        let dir = std::env::temp_dir().join(format!("cometcroft-rig-{}-{run}", std::process::id()));
+        std::fs::create_dir_all(&dir)?;
         if let Some(logs) = &options.logs {
             std::fs::create_dir_all(logs)?;
         }
-        let mut seats = Vec::new();
-        let mut taken: Vec<SocketAddr> = (0..places).map(|i| relay.place(i).own.into()).collect();
+        let mut members = Vec::new();
+        let mut taken: Vec<SocketAddr> = (0..slots).map(|i| relay.addresses(i).own.into()).collect();
         for (i, member) in plan.members.iter().enumerate() {
-            seats.push(Seat {
+            members.push(Member {
                 name: member.name.clone(),
                 zone: plan.zones[member.zone].clone(),
-                place: member.place,
-                listen: free(own(member.place), &mut taken)?,
-                ops: free(own(member.place), &mut taken)?,
-                files: files.join(format!("{i}")),
+                slot: member.place,
+                listen: free_address(own(member.place), &mut taken)?,
+                ops: free_address(own(member.place), &mut taken)?,
+                dir: dir.join(format!("{i}")),
                 process: None,
-                touched: Arc::default(),
+                disturbances: Arc::default(),
                 state: Arc::default(),
-                garbage: Arc::default(),
-                leaving: None,
-                loops: Vec::new(),
-                other: Other::default(),
-                lives: 0,
-                last: None,
-                line: String::new(),
-                part: 0.0,
-                words: Arc::default(),
+                garbage_rate: Arc::default(),
+                leaving_since: None,
+                busy_loops: Vec::new(),
+                overrides: Other::default(),
+                starts: 0,
+                last_status: None,
+                status_line: String::new(),
+                share: 0.0,
+                last_message: Arc::default(),
             });
         }
         Ok(Rig {
@@ -257,22 +276,22 @@
             options,
             guard: Guard::start()?,
             relay,
-            backends,
-            seats,
-            judge: Judge::new(plan, SLACK),
+            endpoints,
+            members,
+            checker: Judge::new(plan, TIMING_FACTOR),
             began: Instant::now(),
             wires: Wires::default(),
-            told: mpsc::channel(),
+            changes: mpsc::channel(),
             deaths: Vec::new(),
             outcomes: Arc::default(),
-            lost: Arc::default(),
+            unanswered: Arc::default(),
             crashed: Vec::new(),
             panics: Arc::default(),
-            share: RigShare::default(),
-            answers: Arc::default(),
-            words: Vec::new(),
-            late: 0,
-            files,
+            budget_report: BudgetReport::default(),
+            command_responses: Arc::default(),
+            command_results: Vec::new(),
+            received_after_startup: 0,
+            dir,
         })
     }
 
@@ -280,7 +299,7 @@
         self.began.elapsed()
     }
 
-    async fn play(&mut self, watch: Watch<'_>) -> io::Result<RigReport> {
+    async fn play(&mut self, progress: Progress<'_>) -> io::Result<RigReport> {
         self.began = Instant::now();
         let acts: Vec<Act> = self.plan.acts.clone();
         let mut next = 0;
@@ -288,17 +307,17 @@
         let ended = loop {
             while next < acts.len() && acts[next].at <= self.now() {
                 let Act { doing, line, .. } = acts[next].clone();
-                self.act(&doing)?;
-                self.judge.done(self.now(), &doing, line);
+                self.apply(&doing)?;
+                self.checker.done(self.now(), &doing, line);
                 next += 1;
             }
-            self.look_at_processes();
-            let all_equal = self.look().await;
-            self.hear();
-            self.hear_answers();
-            self.share();
-            let lines: Vec<String> = self.seats.iter().map(|seat| seat.line.clone()).collect();
-            watch(self.now(), &lines, self.outcomes());
+            self.check_processes();
+            let all_equal = self.poll_members().await;
+            self.handle_events();
+            self.handle_command_responses();
+            self.check_arrivals();
+            let lines: Vec<String> = self.members.iter().map(|member| member.status_line.clone()).collect();
+            progress(self.now(), &lines, self.outcomes());
             let now = self.now();
             if next >= acts.len() {
                 if !all_equal {
@@ -306,214 +325,225 @@
                 } else if equal.is_none() {
                     equal = Some(now);
                 }
-                let stop = self.options.until.as_ref().map(|stop| stop.load(Ordering::Relaxed));
+                let stop = self.options.stop.as_ref().map(|stop| stop.load(Ordering::Relaxed));
                 match stop {
                     Some(true) => break now,
                     Some(false) => {}
-                    // Equal for a while, and whoever was asked to leave is gone.
+                    // Ends once the views have been equal for a while and every leaving process has exited.
                     None => {
                         let settled = equal.is_some_and(|at| now > at + Duration::from_secs(1));
-                        let leaving = self.seats.iter().any(|seat| seat.leaving.is_some());
-                        // A budget is watched for some leases more.
+                        let leaving = self.members.iter().any(|member| member.leaving_since.is_some());
+                        // With a budget, the run continues for several lease durations.
                         let watched = self.plan.budget.as_ref().is_none_or(|budget| {
                             now > (self.plan.quiet_from + budget.lease * 4).max(budget.lease * 7)
                         });
-                        if settled && watched && !leaving || now > self.plan.quiet_from + EVENTUALLY {
+                        if settled && watched && !leaving || now > self.plan.quiet_from + CONVERGENCE_TIMEOUT
+                        {
                             break now;
                         }
                     }
                 }
             }
-            let wait = acts.get(next).map_or(LOOK, |act| act.at.saturating_sub(self.now()).min(LOOK));
+            let wait = acts
+                .get(next)
+                .map_or(POLL_INTERVAL, |act| act.at.saturating_sub(self.now()).min(POLL_INTERVAL));
             tokio::time::sleep(wait).await;
         };
-        if self.options.until.is_none() {
-            self.judge_the_end(ended);
+        if self.options.stop.is_none() {
+            self.check_final_state(ended);
         }
         self.close().await;
-        for seat in self.seats.iter().filter(|_| self.panics.load(Ordering::SeqCst) > 0) {
-            let words = seat.words.lock().unwrap_or_else(PoisonError::into_inner);
-            if words.contains("panicked at") {
-                self.crashed.push(format!("{}: {words}", seat.name));
+        for member in self.members.iter().filter(|_| self.panics.load(Ordering::SeqCst) > 0) {
+            let last_message = member.last_message.lock().unwrap_or_else(PoisonError::into_inner);
+            if last_message.contains("panicked at") {
+                self.crashed.push(format!("{}: {last_message}", member.name));
             }
         }
-        self.hear();
+        self.handle_events();
         Ok(self.report(ended, equal))
     }
 
-    /// Holds what the backend servers received against the whole.
-    fn share(&mut self) {
+    /// Checks the requests that the endpoints received against the plan and against the limits of the budget.
+    fn check_arrivals(&mut self) {
         let arrivals =
-            std::mem::take(&mut *self.backends.arrivals.lock().unwrap_or_else(PoisonError::into_inner));
+            std::mem::take(&mut *self.endpoints.arrivals.lock().unwrap_or_else(PoisonError::into_inner));
         if self.plan.keepers > 0 {
-            for (at, server) in &arrivals {
+            for (at, endpoint) in &arrivals {
                 let at = at.saturating_duration_since(self.began);
-                self.judge.reached(at, ON_ITS_WAY, &format!("s-{server}"));
+                self.checker.reached(at, MAX_FIRST_BYTE_DELAY, &format!("s-{endpoint}"));
             }
         }
         let Some(budget) = &self.plan.budget else { return };
-        let (now, started) = (self.now(), budget.lease * 3);
+        let (now, startup_end) = (self.now(), budget.lease * 3);
         for (at, _) in &arrivals {
             let at = at.saturating_duration_since(self.began);
-            self.late += u64::from(at >= started);
-            self.judge.admitted(at, SEEN_LATE);
+            self.received_after_startup += u64::from(at >= startup_end);
+            self.checker.admitted(at, MAX_ARRIVAL_DELAY);
         }
-        let share = &mut self.share;
-        share.received += arrivals.len() as u64;
-        share.open = (self.backends.open.most.load(Ordering::SeqCst), u64::from(budget.level));
-        self.judge.out(now, share.open.0, share.open.1 + BEYOND);
-        let since = share.line.last().map_or(0.0, |last| last.0);
-        let took = (now.as_secs_f64() - since).max(0.01);
-        let parts = self.seats.iter().filter(|seat| seat.runs()).map(|seat| seat.part).sum();
-        share.line.push((now.as_secs_f64(), parts, arrivals.len() as f64 / took));
-        share.whole = budget.rate;
-        share.used = self.late as f64 / (budget.rate * (now.saturating_sub(started)).as_secs_f64().max(0.1));
+        let report = &mut self.budget_report;
+        report.received += arrivals.len() as u64;
+        report.open = (self.endpoints.open.peak.load(Ordering::SeqCst), u64::from(budget.level));
+        self.checker.out(now, report.open.0, report.open.1 + CONCURRENCY_TOLERANCE);
+        let last_sample = report.line.last().map_or(0.0, |last| last.0);
+        let elapsed = (now.as_secs_f64() - last_sample).max(0.01);
+        let shares =
+            self.members.iter().filter(|member| member.is_running()).map(|member| member.share).sum();
+        report.line.push((now.as_secs_f64(), shares, arrivals.len() as f64 / elapsed));
+        report.whole = budget.rate;
+        report.used = self.received_after_startup as f64
+            / (budget.rate * (now.saturating_sub(startup_end)).as_secs_f64().max(0.1));
     }
 
-    /// What must hold at the end, however long it took.
-    fn judge_the_end(&mut self, at: Duration) {
+    /// Checks the invariants that must hold at the end of a run, whatever its duration.
+    fn check_final_state(&mut self, at: Duration) {
         let looks: Vec<(usize, Look)> =
-            self.seats.iter().enumerate().filter_map(|(i, s)| Some((i, s.last.clone()?))).collect();
+            self.members.iter().enumerate().filter_map(|(i, s)| Some((i, s.last_status.clone()?))).collect();
         for (i, look) in looks.iter().filter(|(_, look)| !look.superseded) {
-            self.judge.compare(at, *i, look);
+            self.checker.compare(at, *i, look);
         }
         let plans: Vec<(usize, PlanLook)> =
             looks.iter().filter_map(|(i, look)| Some((*i, look.plan.clone()?))).collect();
-        self.judge.plans(at, &plans);
+        self.checker.plans(at, &plans);
     }
 
-    fn act(&mut self, doing: &Doing) -> io::Result<()> {
-        let touch = |seat: &Seat| seat.touched.fetch_add(1, Ordering::SeqCst);
+    /// Applies one act of the script.
+    fn apply(&mut self, doing: &Doing) -> io::Result<()> {
+        let count_disturbance = |member: &Member| member.disturbances.fetch_add(1, Ordering::SeqCst);
         match doing {
             Doing::Start(i) => self.start(*i)?,
             Doing::Stop(i) => {
-                touch(&self.seats[*i]);
-                self.seats[*i].put(STOPPED);
-                self.seats[*i].last = None;
-                if let Some(process) = &mut self.seats[*i].process {
-                    process.stop();
+                count_disturbance(&self.members[*i]);
+                self.members[*i].set_state(PAUSED);
+                self.members[*i].last_status = None;
+                if let Some(process) = &mut self.members[*i].process {
+                    process.pause();
                 }
             }
             Doing::GoOn(i) => {
-                touch(&self.seats[*i]);
-                if let Some(process) = &mut self.seats[*i].process {
-                    process.go_on();
-                    self.seats[*i].put(RUNS);
+                count_disturbance(&self.members[*i]);
+                if let Some(process) = &mut self.members[*i].process {
+                    process.resume();
+                    self.members[*i].set_state(RUNNING);
                 }
             }
             Doing::Kill(i) => {
-                touch(&self.seats[*i]);
-                self.died(*i);
-                let seat = &mut self.seats[*i];
-                seat.put(OVER);
-                seat.last = None;
-                if let Some(mut process) = seat.process.take() {
+                count_disturbance(&self.members[*i]);
+                self.record_death(*i);
+                let member = &mut self.members[*i];
+                member.set_state(ENDED);
+                member.last_status = None;
+                if let Some(mut process) = member.process.take() {
                     process.kill();
                 }
             }
             Doing::Terminate(i) => {
-                touch(&self.seats[*i]);
-                self.died(*i);
-                let seat = &mut self.seats[*i];
-                seat.put(OVER);
-                seat.last = None;
-                if let Some(process) = &mut seat.process {
+                count_disturbance(&self.members[*i]);
+                self.record_death(*i);
+                let member = &mut self.members[*i];
+                member.set_state(ENDED);
+                member.last_status = None;
+                if let Some(process) = &mut member.process {
                     process.terminate();
-                    seat.leaving = Some(Instant::now());
+                    member.leaving_since = Some(Instant::now());
                 }
             }
             Doing::Wire(fault, from, to, wire) => {
-                let Rig { wires, relay, seats, .. } = self;
+                let Rig { wires, relay, members, .. } = self;
                 wires.put(*fault, (from, to), *wire, |a, b, all| {
-                    relay.wire(seats[a].place, seats[b].place, all);
+                    relay.set_wire(members[a].slot, members[b].slot, all);
                 });
             }
-            Doing::Garbage(i, rate) => self.garbage(*i, *rate)?,
+            Doing::Garbage(i, rate) => self.send_garbage(*i, *rate)?,
             Doing::Busy(i, loops) => {
-                let seat = &mut self.seats[*i];
-                seat.loops.clear();
-                if let Some(process) = &mut seat.process {
-                    process.share((*loops > 0).then_some(*i));
+                let member = &mut self.members[*i];
+                member.busy_loops.clear();
+                if let Some(process) = &mut member.process {
+                    process.set_processor((*loops > 0).then_some(*i));
                 }
                 for _ in 0..*loops {
                     let mut command = Command::new("/bin/sh");
                     command.args(["-c", "while :; do :; done"]).stdout(Stdio::null()).stderr(Stdio::null());
                     let mut busy = Process::start(&mut command, &self.guard)?;
-                    busy.share(Some(*i));
-                    seat.loops.push(busy);
+                    busy.set_processor(Some(*i));
+                    member.busy_loops.push(busy);
                 }
             }
             Doing::Descriptors(i, most) => {
-                touch(&self.seats[*i]);
-                if let Some(process) = &mut self.seats[*i].process {
-                    process.descriptors(*most);
+                count_disturbance(&self.members[*i]);
+                if let Some(process) = &mut self.members[*i].process {
+                    process.limit_descriptors(*most);
                 }
             }
-            Doing::File(i, other) => self.seats[*i].other = *other,
-            Doing::Say(i, spoken) => self.say(*i, spoken.clone()),
+            Doing::File(i, other) => self.members[*i].overrides = *other,
+            Doing::Say(i, spoken) => self.send_command(*i, spoken.clone()),
         }
         Ok(())
     }
 
-    /// Says a word at a door; what comes of it is heard later.
-    fn say(&mut self, i: usize, spoken: Spoken) {
-        let (ops, answers, began) = (self.seats[i].ops, self.answers.clone(), self.began);
+    /// Sends an operator command to a member in the background; [`Rig::handle_command_responses`] handles the response.
+    fn send_command(&mut self, i: usize, command: Spoken) {
+        let (ops, responses, began) = (self.members[i].ops, self.command_responses.clone(), self.began);
         tokio::spawn(async move {
-            let call = format!("/ops/plan/{}", spoken.call());
-            let text = if matches!(spoken.say, Say::Propose | Say::Release) { &spoken.text } else { "" };
-            let asked = tokio::time::timeout(ANSWERED, put(ops, "PUT", &call, text)).await;
-            let answer = asked.ok().flatten();
-            let mut answers = answers.lock().unwrap_or_else(PoisonError::into_inner);
-            answers.push((began.elapsed(), i, spoken, answer));
+            let path = format!("/ops/plan/{}", command.call());
+            let text = if matches!(command.say, Say::Propose | Say::Release) { &command.text } else { "" };
+            let response = tokio::time::timeout(COMMAND_TIMEOUT, call_ops(ops, "PUT", &path, text)).await;
+            let response = response.ok().flatten();
+            let mut responses = responses.lock().unwrap_or_else(PoisonError::into_inner);
+            responses.push((began.elapsed(), i, command, response));
         });
     }
 
-    /// What came of words.
-    fn hear_answers(&mut self) {
-        let answers = std::mem::take(&mut *self.answers.lock().unwrap_or_else(PoisonError::into_inner));
-        for (at, i, spoken, answer) in answers {
-            let index = answer
+    /// Handles the responses to operator commands.
+    fn handle_command_responses(&mut self) {
+        let responses =
+            std::mem::take(&mut *self.command_responses.lock().unwrap_or_else(PoisonError::into_inner));
+        for (at, i, command, response) in responses {
+            let index = response
                 .as_ref()
-                .filter(|a| a.get("taken").or(a.get("founded")).is_some())
-                .and_then(|a| a.get("index")?.as_u64());
-            let founding = self.seats[i].last.as_ref().and_then(|look| Some(look.plan.as_ref()?.place.0));
-            if let (Some(index), Some(founding)) = (index, founding) {
-                self.judge.acknowledged(founding, index, spoken.say);
+                .filter(|body| body.get("taken").or(body.get("founded")).is_some())
+                .and_then(|body| body.get("index")?.as_u64());
+            let log_id =
+                self.members[i].last_status.as_ref().and_then(|look| Some(look.plan.as_ref()?.place.0));
+            if let (Some(index), Some(log_id)) = (index, log_id) {
+                self.checker.acknowledged(log_id, index, command.say);
             }
-            let code =
-                answer.as_ref().and_then(|a| a.get("code")).and_then(Value::as_str).unwrap_or("no answer");
-            let told = index.map_or(code.to_owned(), |index| format!("taken as {index}"));
-            self.words.push(format!(
-                "{:.2} s {} at {}: {told}",
+            let code = response
+                .as_ref()
+                .and_then(|body| body.get("code"))
+                .and_then(Value::as_str)
+                .unwrap_or("no answer");
+            let result = index.map_or(code.to_owned(), |index| format!("taken as {index}"));
+            self.command_results.push(format!(
+                "{:.2} s {} at {}: {result}",
                 at.as_secs_f64(),
-                spoken.call(),
-                self.seats[i].name
+                command.call(),
+                self.members[i].name
             ));
         }
     }
 
-    /// Sends datagrams that make no sense, from an address that is nobody's, in a thread of its own.
-    fn garbage(&self, i: usize, rate: u32) -> io::Result<()> {
-        let seat = &self.seats[i];
-        seat.garbage.store(rate, Ordering::SeqCst);
+    /// Sends random datagrams to a member, in a separate thread and from an address that belongs to no member.
+    fn send_garbage(&self, i: usize, rate: u32) -> io::Result<()> {
+        let member = &self.members[i];
+        member.garbage_rate.store(rate, Ordering::SeqCst);
         if rate == 0 {
             return Ok(());
         }
-        let place = self.relay.place(seat.place);
-        let mut from = place.own.ip().octets();
+        let addresses = self.relay.addresses(member.slot);
+        let mut from = addresses.own.ip().octets();
         from[3] = 240;
         let socket = UdpSocket::bind((Ipv4Addr::from(from), 0))?;
-        let (wanted, seed) = (seat.garbage.clone(), self.plan.seed);
+        let (target_rate, seed) = (member.garbage_rate.clone(), self.plan.seed);
         std::thread::spawn(move || {
             let mut rng = fastrand::Rng::with_seed(seed);
             let began = Instant::now();
             let mut sent = 0u64;
-            // Bounded by the script, and by a minute.
-            while wanted.load(Ordering::SeqCst) > 0 && began.elapsed() < Duration::from_secs(60) {
+            // Ends when the script says so, and after one minute at the latest.
+            while target_rate.load(Ordering::SeqCst) > 0 && began.elapsed() < Duration::from_secs(60) {
                 let due = (began.elapsed().as_secs_f64() * f64::from(rate)) as u64;
                 while sent < due {
                     let bytes: Vec<u8> = (0..rng.usize(..1300)).map(|_| rng.u8(..)).collect();
-                    let _ = socket.send_to(&bytes, place.own);
+                    let _ = socket.send_to(&bytes, addresses.own);
                     sent += 1;
                 }
                 std::thread::sleep(Duration::from_millis(1));
@@ -522,11 +552,11 @@
         Ok(())
     }
 
-    /// The operator's file's part on the budget.
-    fn budget(&self, rate: Option<f64>) -> String {
+    /// Returns the `[budget]` section of the operator file.
+    fn budget_section(&self, rate: Option<f64>) -> String {
         let Some(budget) = &self.plan.budget else { return String::new() };
-        let reached = |i: usize| format!("\"{}\"", self.relay.place(self.seats[i].place).reached);
-        let list = |count: usize| (0..count).map(reached).collect::<Vec<_>>().join(", ");
+        let advertised = |i: usize| format!("\"{}\"", self.relay.addresses(self.members[i].slot).advertised);
+        let list = |count: usize| (0..count).map(advertised).collect::<Vec<_>>().join(", ");
         let roster = if budget.floor > 0.0 { self.plan.first } else { 0 };
         let (lease, longest) = (budget.lease.as_millis(), budget.longest.as_millis());
         format!(
@@ -539,44 +569,45 @@
             budget.burst,
             budget.floor,
             budget.level,
-            // A request needs both.
+            // A request needs both the rate and the concurrency limit.
             u8::from(budget.floor > 0.0),
         )
     }
 
+    /// Writes the configuration and operator files of a member and starts its process, unless it has one already.
     fn start(&mut self, i: usize) -> io::Result<()> {
-        if self.seats[i].process.is_some() {
+        if self.members[i].process.is_some() {
             return Ok(());
         }
         let seeds: Vec<String> = (0..self.plan.seeds)
-            .map(|s| format!("\"{}\"", self.relay.place(self.seats[s].place).reached))
+            .map(|s| format!("\"{}\"", self.relay.addresses(self.members[s].slot).advertised))
             .collect();
-        let place = self.relay.place(self.seats[i].place);
-        let budget = self.budget(self.seats[i].other.rate);
-        let reached = |i: usize| format!("\"{}\"", self.relay.place(self.seats[i].place).reached);
-        let keepers =
-            (0..self.plan.keepers.min(self.seats.len())).map(reached).collect::<Vec<_>>().join(", ");
-        let agreed = if keepers.is_empty() { keepers } else { format!("[plan]\nkeepers = [{keepers}]\n") };
-        let seat = &mut self.seats[i];
-        seat.lives += 1;
-        std::fs::create_dir_all(&seat.files)?;
-        let (config, operator) = (seat.files.join("config.json"), seat.files.join("operator.toml"));
-        let zone = self.plan.zones.iter().position(|z| *z == seat.zone).unwrap_or(0);
+        let addresses = self.relay.addresses(self.members[i].slot);
+        let budget_section = self.budget_section(self.members[i].overrides.rate);
+        let advertised = |i: usize| format!("\"{}\"", self.relay.addresses(self.members[i].slot).advertised);
+        let voters =
+            (0..self.plan.keepers.min(self.members.len())).map(advertised).collect::<Vec<_>>().join(", ");
+        let plan_section = if voters.is_empty() { voters } else { format!("[plan]\nkeepers = [{voters}]\n") };
+        let member = &mut self.members[i];
+        member.starts += 1;
+        std::fs::create_dir_all(&member.dir)?;
+        let (config, operator) = (member.dir.join("config.json"), member.dir.join("operator.toml"));
+        let zone = self.plan.zones.iter().position(|z| *z == member.zone).unwrap_or(0);
         let settings = sidecar_settings(&self.plan.zones, zone, i, self.plan.first);
         let text = json!({
-            "name": seat.name, "listen": seat.listen.to_string(), "ops": seat.ops.to_string(),
-            "discovery": self.backends.discovery.to_string(), "seed": format!("{:016x}", self.plan.seed + i as u64),
+            "name": member.name, "listen": member.listen.to_string(), "ops": member.ops.to_string(),
+            "discovery": self.endpoints.discovery.to_string(), "seed": format!("{:016x}", self.plan.seed + i as u64),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512}, "known": null, "settings": settings,
         });
         std::fs::write(&config, text.to_string())?;
-        let member = format!(
+        let fleet_section = format!(
             "[fleet]\nname = \"rig\"\nbind = \"{}\"\nadvertise = \"{}\"\nseeds = [{}]\nlongest_pause = \"{}ms\"\n",
-            place.own,
-            place.reached,
+            addresses.own,
+            addresses.advertised,
             seeds.join(", "),
-            seat.other.longest_pause.unwrap_or(self.plan.longest_pause).as_millis(),
+            member.overrides.longest_pause.unwrap_or(self.plan.longest_pause).as_millis(),
         );
-        std::fs::write(&operator, member + &budget + &agreed)?;
+        std::fs::write(&operator, fleet_section + &budget_section + &plan_section)?;
         let mut command = Command::new(&self.options.program);
         command
             .arg("--operator")
@@ -586,203 +617,210 @@
             .stdout(Stdio::null())
             .stderr(Stdio::piped());
         let mut process = Process::start(&mut command, &self.guard)?;
-        if let Some(log) = process.log() {
-            let (told, life, name) = (self.told.0.clone(), seat.lives, seat.name.clone());
-            let (words, panics) = (seat.words.clone(), self.panics.clone());
-            let kept = self.options.logs.as_ref().map(|logs| logs.join(format!("{i}-{name}-{life}.log")));
-            // Ends with the process' log.
+        if let Some(log) = process.take_stderr() {
+            let (changes, start_number, name) = (self.changes.0.clone(), member.starts, member.name.clone());
+            let (last_message, panics) = (member.last_message.clone(), self.panics.clone());
+            let log_path =
+                self.options.logs.as_ref().map(|logs| logs.join(format!("{i}-{name}-{start_number}.log")));
+            // The thread ends when the process closes its log.
             std::thread::spawn(move || {
-                let mut kept = kept.and_then(|path| std::fs::File::create(path).ok());
+                let mut log_file = log_path.and_then(|path| std::fs::File::create(path).ok());
                 for line in BufReader::new(log).lines().map_while(Result::ok) {
-                    if let Some(kept) = &mut kept {
-                        let _ = writeln!(kept, "{line}");
+                    if let Some(log_file) = &mut log_file {
+                        let _ = writeln!(log_file, "{line}");
                     }
-                    let said = line.starts_with("cometcroft: ") && !line.starts_with("cometcroft: counters");
-                    // Danger: a task that panics ends alone, and its process serves on without it.
+                    let is_message =
+                        line.starts_with("cometcroft: ") && !line.starts_with("cometcroft: counters");
+                    // A panic ends only its task, and the process keeps running without it, so panics are counted here.
                     let panicked = line.contains("panicked at");
-                    if said || panicked {
-                        words.lock().unwrap_or_else(PoisonError::into_inner).clone_from(&line);
+                    if is_message || panicked {
+                        last_message.lock().unwrap_or_else(PoisonError::into_inner).clone_from(&line);
                     }
                     panics.fetch_add(u64::from(panicked), Ordering::SeqCst);
-                    if let Some(change) = change(&line) {
+                    if let Some(change) = parse_state_change(&line) {
                         let (member, generation, to) = change;
-                        let _ = told.send((Instant::now(), i, life, member, generation, to));
+                        let _ = changes.send((Instant::now(), i, start_number, member, generation, to));
                     }
                 }
             });
         }
-        seat.process = Some(process);
-        seat.touched.fetch_add(1, Ordering::SeqCst);
-        // A life has a state of its own: what still watches the one before sees it over.
-        seat.state = Arc::new(AtomicU8::new(RUNS));
-        self.load(i);
+        member.process = Some(process);
+        member.disturbances.fetch_add(1, Ordering::SeqCst);
+        // Each start gets its own state, so that tasks of the previous process still see that one as ended.
+        member.state = Arc::new(AtomicU8::new(RUNNING));
+        self.start_load(i);
         Ok(())
     }
 
-    /// An open loop of requests on a member for as long as this life of it runs.
-    fn load(&self, i: usize) {
+    /// Starts an open-loop load on a member, which ends with the current process of the member.
+    fn start_load(&self, i: usize) {
         if self.plan.load <= 0.0 {
             return;
         }
         let (budget, first) = (self.plan.budget.clone(), self.plan.first);
-        let seat = &self.seats[i];
-        let (state, touched, to) = (seat.state.clone(), seat.touched.clone(), seat.listen);
-        let (outcomes, lost, began) = (self.outcomes.clone(), self.lost.clone(), self.began);
+        let member = &self.members[i];
+        let (state, disturbances, to) = (member.state.clone(), member.disturbances.clone(), member.listen);
+        let (outcomes, unanswered, began) = (self.outcomes.clone(), self.unanswered.clone(), self.began);
         let load = self.plan.load;
         tokio::spawn(async move {
-            // It answers `/up` first; until then nobody would be sent to it.
+            // A sidecar gets no traffic before it responds to `/up`.
             tokio::time::sleep(Duration::from_millis(700)).await;
             let mut next = Instant::now();
             loop {
                 let need = budget.as_ref().map_or(load, |budget| budget.need(i, first, began.elapsed()));
                 next += Duration::from_secs_f64(1.0 / need.max(0.1));
                 tokio::time::sleep_until(next.into()).await;
-                let before = touched.load(Ordering::SeqCst);
+                let before = disturbances.load(Ordering::SeqCst);
                 match state.load(Ordering::SeqCst) {
-                    OVER => return,
-                    STOPPED => continue,
+                    ENDED => return,
+                    PAUSED => continue,
                     _ => {}
                 }
-                let (outcomes, lost, touched) = (outcomes.clone(), lost.clone(), touched.clone());
+                let (outcomes, unanswered, disturbances) =
+                    (outcomes.clone(), unanswered.clone(), disturbances.clone());
                 let tenant = budget.as_ref().map(|_| TENANT);
                 tokio::spawn(async move {
                     let ended = request(to, tenant).await;
-                    let alone = touched.load(Ordering::SeqCst) == before;
+                    let undisturbed = disturbances.load(Ordering::SeqCst) == before;
                     let mut all = outcomes.lock().unwrap_or_else(PoisonError::into_inner);
                     match ended {
-                        Ended::Served => all.served += 1,
-                        Ended::Denied => all.denied += 1,
-                        Ended::Failed => all.failed += 1,
-                        Ended::Lost if alone => {
+                        RequestOutcome::Served => all.served += 1,
+                        RequestOutcome::Rejected => all.denied += 1,
+                        RequestOutcome::Failed => all.failed += 1,
+                        RequestOutcome::Unanswered if undisturbed => {
                             all.lost += 1;
-                            let mut lost = lost.lock().unwrap_or_else(PoisonError::into_inner);
-                            lost.push((i, began.elapsed()));
+                            let mut unanswered = unanswered.lock().unwrap_or_else(PoisonError::into_inner);
+                            unanswered.push((i, began.elapsed()));
                         }
-                        Ended::Unmet | Ended::Lost => all.unmet += 1,
+                        RequestOutcome::NotConnected | RequestOutcome::Unanswered => all.unmet += 1,
                     }
                 });
             }
         });
     }
 
-    fn died(&mut self, i: usize) {
-        if self.seats[i].process.is_some() {
-            let others = self.seats.iter().map(|_| None).collect();
+    fn record_death(&mut self, i: usize) {
+        if self.members[i].process.is_some() {
+            let others = self.members.iter().map(|_| None).collect();
             self.deaths.push((i, self.now(), others));
         }
     }
 
-    /// Processes that ended: as they were asked to, or not.
-    fn look_at_processes(&mut self) {
-        for seat in &mut self.seats {
-            let Some(process) = &mut seat.process else { continue };
-            match (process.ended(), seat.leaving) {
-                (None, Some(since)) if since.elapsed() > LEAVE => {
-                    self.crashed.push(format!("{} did not end within {LEAVE:?} of SIGTERM", seat.name));
+    /// Handles processes that ended, and kills those that did not exit in time after SIGTERM.
+    fn check_processes(&mut self) {
+        for member in &mut self.members {
+            let Some(process) = &mut member.process else { continue };
+            match (process.exit_status(), member.leaving_since) {
+                (None, Some(since)) if since.elapsed() > EXIT_TIMEOUT => {
+                    self.crashed
+                        .push(format!("{} did not end within {EXIT_TIMEOUT:?} of SIGTERM", member.name));
                     process.kill();
-                    (seat.process, seat.leaving) = (None, None);
+                    (member.process, member.leaving_since) = (None, None);
                 }
                 (None, _) => {}
                 (Some(status), leaving) => {
                     if leaving.is_none() || !status.success() {
-                        let words = seat.words.lock().unwrap_or_else(PoisonError::into_inner);
-                        self.crashed.push(format!("{} ended: {status} {words}", seat.name));
+                        let last_message = member.last_message.lock().unwrap_or_else(PoisonError::into_inner);
+                        self.crashed.push(format!("{} ended: {status} {last_message}", member.name));
                     }
-                    seat.put(OVER);
-                    (seat.process, seat.leaving, seat.last) = (None, None, None);
+                    member.set_state(ENDED);
+                    (member.process, member.leaving_since, member.last_status) = (None, None, None);
                 }
             }
         }
     }
 
-    /// Asks all doors; whether all views are equal and true.
-    async fn look(&mut self) -> bool {
-        let asked: Vec<(usize, u32, SocketAddr)> = self
-            .seats
+    /// Polls all operations endpoints, and returns whether all views are equal and correct.
+    async fn poll_members(&mut self) -> bool {
+        let polled: Vec<(usize, u32, SocketAddr)> = self
+            .members
             .iter()
             .enumerate()
-            .filter(|(_, seat)| seat.process.is_some() && seat.runs())
-            .map(|(i, seat)| (i, seat.lives, seat.ops))
+            .filter(|(_, member)| member.process.is_some() && member.is_running())
+            .map(|(i, member)| (i, member.starts, member.ops))
             .collect();
         let plans = self.plan.keepers > 0;
-        let both = |ops| async move {
-            let fleet = put(ops, "GET", "/ops/fleet", "").await;
-            (fleet, if plans { put(ops, "GET", "/ops/plan", "").await } else { None })
+        let poll = |ops| async move {
+            let fleet = call_ops(ops, "GET", "/ops/fleet", "").await;
+            (fleet, if plans { call_ops(ops, "GET", "/ops/plan", "").await } else { None })
         };
-        let calls: Vec<_> = asked.iter().map(|(_, _, ops)| tokio::spawn(both(*ops))).collect();
-        let mut equal = !asked.is_empty();
-        for ((i, life, _), call) in asked.into_iter().zip(calls) {
-            let answer = call.await.ok();
+        let calls: Vec<_> = polled.iter().map(|(_, _, ops)| tokio::spawn(poll(*ops))).collect();
+        let mut equal = !polled.is_empty();
+        for ((i, start_number, _), call) in polled.into_iter().zip(calls) {
+            let response = call.await.ok();
             let now = self.now();
-            let seat = &mut self.seats[i];
-            if seat.lives != life || !seat.runs() {
+            let member = &mut self.members[i];
+            if member.starts != start_number || !member.is_running() {
                 continue;
             }
-            let (answer, agreed) = answer.unwrap_or_default();
-            let Some((mut look, line, part)) = answer.as_ref().and_then(read_look) else {
-                (equal, seat.last, seat.part) = (false, None, 0.0);
+            let (fleet_status, plan_status) = response.unwrap_or_default();
+            let Some((mut look, line, share)) = fleet_status.as_ref().and_then(parse_fleet_status) else {
+                (equal, member.last_status, member.share) = (false, None, 0.0);
                 continue;
             };
-            // Whose file has another budget is answered by nobody, and is not waited for.
-            look.plan = agreed.as_ref().and_then(read_plan);
-            look.answered = look.answered.filter(|_| seat.other.rate.is_none());
+            // Allocators do not respond to a member whose operator file has a different budget, so it is not waited
+            // for.
+            look.plan = plan_status.as_ref().and_then(parse_plan_status);
+            look.answered = look.answered.filter(|_| member.overrides.rate.is_none());
             let revision = look.plan.as_ref().map(|plan| format!("  revision {}", plan.in_force.1));
-            let line = format!("{line}{}  door {}", revision.unwrap_or_default(), seat.ops);
-            (seat.last, seat.line, seat.part) = (Some(look.clone()), line, part);
-            self.judge.look(now, i, &look);
+            let line = format!("{line}{}  door {}", revision.unwrap_or_default(), member.ops);
+            (member.last_status, member.status_line, member.share) = (Some(look.clone()), line, share);
+            self.checker.look(now, i, &look);
         }
-        let stopped =
-            self.seats.iter().any(|s| s.process.is_some() && s.leaving.is_none() && s.last.is_none());
-        let looks: Vec<&Look> = self.seats.iter().filter_map(|s| s.last.as_ref()).collect();
-        let speaking = looks.iter().filter(|look| !look.superseded);
+        let no_status = self.members.iter().any(|member| {
+            member.process.is_some() && member.leaving_since.is_none() && member.last_status.is_none()
+        });
+        let looks: Vec<&Look> =
+            self.members.iter().filter_map(|member| member.last_status.as_ref()).collect();
+        let not_superseded = looks.iter().filter(|look| !look.superseded);
         let answered = looks.iter().all(|look| look.answered != Some(false));
         let plans: Vec<(usize, PlanLook)> =
             looks.iter().enumerate().filter_map(|(i, look)| Some((i, look.plan.clone()?))).collect();
-        let agreed = self.plan.keepers == 0 || same_plans(&plans).is_ok();
+        let plans_equal = self.plan.keepers == 0 || same_plans(&plans).is_ok();
         equal
-            && !stopped
+            && !no_status
             && answered
-            && agreed
-            && speaking.clone().all(|look| self.judge.true_view(look).is_ok())
+            && plans_equal
+            && not_superseded.clone().all(|look| self.checker.true_view(look).is_ok())
     }
 
-    /// What the logs have told.
-    fn hear(&mut self) {
-        while let Ok((at, observer, life, name, generation, to)) = self.told.1.try_recv() {
+    /// Handles the state changes from the logs and the requests without a response.
+    fn handle_events(&mut self) {
+        while let Ok((at, observer, start_number, name, generation, to)) = self.changes.1.try_recv() {
             let now = at.saturating_duration_since(self.began);
-            if self.seats[observer].lives != life {
+            if self.members[observer].starts != start_number {
                 continue;
             }
-            self.judge.changed(now, observer, &name, generation, to == "gone");
+            self.checker.changed(now, observer, &name, generation, to == "gone");
             if to == "gone" || to == "left" {
-                for (dead, _, knows) in &mut self.deaths {
-                    if self.seats[*dead].name == name && knows[observer].is_none() {
-                        knows[observer] = Some(now);
+                for (dead, _, known_at) in &mut self.deaths {
+                    if self.members[*dead].name == name && known_at[observer].is_none() {
+                        known_at[observer] = Some(now);
                     }
                 }
             }
         }
-        let lost = std::mem::take(&mut *self.lost.lock().unwrap_or_else(PoisonError::into_inner));
-        for (i, at) in lost {
-            self.judge.breaks(Rule::Unanswered, at, i, "a request was never answered".to_owned());
+        let unanswered = std::mem::take(&mut *self.unanswered.lock().unwrap_or_else(PoisonError::into_inner));
+        for (i, at) in unanswered {
+            self.checker.breaks(Rule::Unanswered, at, i, "a request was never answered".to_owned());
         }
     }
 
-    /// Asks all that are left to leave, and sees that they do.
+    /// Sends SIGTERM to all remaining processes, and waits until they have ended.
     async fn close(&mut self) {
-        for seat in &mut self.seats {
-            seat.garbage.store(0, Ordering::SeqCst);
-            seat.touched.fetch_add(1, Ordering::SeqCst);
-            seat.put(OVER);
-            if let Some(process) = &mut seat.process {
-                process.go_on();
+        for member in &mut self.members {
+            member.garbage_rate.store(0, Ordering::SeqCst);
+            member.disturbances.fetch_add(1, Ordering::SeqCst);
+            member.set_state(ENDED);
+            if let Some(process) = &mut member.process {
+                process.resume();
                 process.terminate();
-                seat.leaving.get_or_insert_with(Instant::now);
+                member.leaving_since.get_or_insert_with(Instant::now);
             }
         }
-        while self.seats.iter().any(|seat| seat.process.is_some()) {
+        while self.members.iter().any(|member| member.process.is_some()) {
             tokio::time::sleep(Duration::from_millis(20)).await;
-            self.look_at_processes();
+            self.check_processes();
         }
     }
 
@@ -791,19 +829,19 @@
     }
 
     fn report(&self, ended: Duration, equal: Option<Duration>) -> RigReport {
-        // Who was started again was not to be known as dead.
-        let for_good = self.deaths.iter().filter(|(dead, ..)| self.seats[*dead].lives == 1);
-        let known = for_good.filter_map(|(dead, at, knows)| {
+        // Members that were started again are left out: the others need not have seen them as dead.
+        let not_restarted = self.deaths.iter().filter(|(dead, ..)| self.members[*dead].starts == 1);
+        let known = not_restarted.filter_map(|(dead, at, known_at)| {
             let lived = |i: &usize| i != dead && self.deaths.iter().all(|(d, ..)| d != i);
-            let all: Vec<Duration> = (0..self.seats.len())
+            let all: Vec<Duration> = (0..self.members.len())
                 .filter(lived)
-                .filter(|&i| self.seats[i].lives > 0)
-                .map(|i| knows[i])
+                .filter(|&i| self.members[i].starts > 0)
+                .map(|i| known_at[i])
                 .collect::<Option<_>>()?;
             let since = |t: &Duration| t.saturating_sub(*at).as_secs_f64();
             Some((since(all.iter().min()?), since(all.iter().max()?)))
         });
-        let passed = &self.relay.passed;
+        let counters = &self.relay.counters;
         let count = |n: &AtomicU64| n.load(Ordering::Relaxed);
         RigReport {
             script: self.plan.name.clone(),
@@ -813,11 +851,11 @@
             known_s: known.collect(),
             equal_s: equal.map(|at| at.saturating_sub(self.plan.quiet_from).as_secs_f64()),
             requests: self.outcomes(),
-            received: count(&self.backends.received),
-            datagrams: (count(&passed.datagrams), count(&passed.bytes), count(&passed.lost)),
-            share: self.plan.budget.as_ref().map(|_| self.share.clone()),
-            words: self.words.clone(),
-            broken: self.judge.broken.clone(),
+            received: count(&self.endpoints.received),
+            datagrams: (count(&counters.datagrams), count(&counters.bytes), count(&counters.dropped)),
+            share: self.plan.budget.as_ref().map(|_| self.budget_report.clone()),
+            words: self.command_results.clone(),
+            broken: self.checker.broken.clone(),
             crashed: self.crashed.clone(),
         }
     }
@@ -825,16 +863,16 @@
 
 impl Drop for Rig<'_> {
     fn drop(&mut self) {
-        for seat in &mut self.seats {
-            seat.garbage.store(0, Ordering::SeqCst);
-            seat.loops.clear();
-            seat.process = None;
+        for member in &mut self.members {
+            member.garbage_rate.store(0, Ordering::SeqCst);
+            member.busy_loops.clear();
+            member.process = None;
         }
     }
 }
 
-/// A change of state, from a line of a member's log.
-fn change(line: &str) -> Option<(String, u64, String)> {
+/// Parses a state change from a line of a log.
+fn parse_state_change(line: &str) -> Option<(String, u64, String)> {
     let value: Value = serde_json::from_str(line).ok()?;
     let fields = value.get("fields")?;
     if fields.get("message")?.as_str()? != "member changed" {
@@ -844,56 +882,61 @@
     Some((text("member")?, fields.get("generation")?.as_u64()?, text("to")?))
 }
 
-/// Where a plan stands, as its door says.
-fn read_plan(value: &Value) -> Option<PlanLook> {
+/// Parses the response of `/ops/plan`.
+fn parse_plan_status(value: &Value) -> Option<PlanLook> {
     let log = value.get("log")?;
     let number = |from: &Value, name: &str| from.get(name)?.as_u64();
     let permits = value.get("permits")?.as_array()?;
-    let clear = |it: &&Value| it["state"].as_str().is_some_and(|state| state.starts_with("clear"));
-    let steps = permits.iter().filter_map(|it| it["since"].as_u64());
+    let clear = |permit: &&Value| permit["state"].as_str().is_some_and(|state| state.starts_with("clear"));
+    let steps = permits.iter().filter_map(|permit| permit["since"].as_u64());
     Some(PlanLook {
         place: (number(log, "founded")?, number(log, "index")?),
         sum: log.get("sum")?.as_str()?.to_owned(),
         in_force: (number(value, "in_force_to")?, number(value, "revision")? as u32),
         halted: !value.get("halted_by")?.is_null(),
         steps: steps.chain(value["release"]["waved"].as_u64()).collect(),
-        clear: permits.iter().filter(clear).filter_map(|it| Some(it["name"].as_str()?.to_owned())).collect(),
+        clear: permits
+            .iter()
+            .filter(clear)
+            .filter_map(|permit| Some(permit["name"].as_str()?.to_owned()))
+            .collect(),
         led: !log.get("leader")?.is_null(),
     })
 }
 
-/// Calls a door.
-async fn put(ops: SocketAddr, method: &str, call: &str, text: &str) -> Option<Value> {
-    let asked = async {
+/// Calls an operations endpoint, and returns the JSON body of its response.
+async fn call_ops(ops: SocketAddr, method: &str, path: &str, body: &str) -> Option<Value> {
+    let exchange = async {
         let mut stream = TcpStream::connect(ops).await.ok()?;
-        let length = text.len();
-        let head = format!("{method} {call} HTTP/1.1\r\nHost: ops\r\nContent-Length: {length}\r\n\r\n{text}");
+        let length = body.len();
+        let head = format!("{method} {path} HTTP/1.1\r\nHost: ops\r\nContent-Length: {length}\r\n\r\n{body}");
         stream.write_all(head.as_bytes()).await.ok()?;
-        let answer = hear(&mut stream, &mut Vec::new()).await.ok()??;
-        serde_json::from_str(answer.split("\r\n\r\n").nth(1)?).ok()
+        let response = read_message(&mut stream, &mut Vec::new()).await.ok()??;
+        serde_json::from_str(response.split("\r\n\r\n").nth(1)?).ok()
     };
-    let patience = if method == "GET" { PATIENCE } else { ANSWERED };
-    tokio::time::timeout(patience, asked).await.ok().flatten()
+    let timeout = if method == "GET" { POLL_TIMEOUT } else { COMMAND_TIMEOUT };
+    tokio::time::timeout(timeout, exchange).await.ok().flatten()
 }
 
-fn read_look(value: &Value) -> Option<(Look, String, f64)> {
+/// Parses the response of `/ops/fleet` into the view, a status line, and the share of the rate limit.
+fn parse_fleet_status(value: &Value) -> Option<(Look, String, f64)> {
     let number = |name: &str| value.get(name)?.as_u64();
     let name = value.get("name")?.as_str()?.to_owned();
     let generation = number("generation")?;
-    let mut who = vec![(name.clone(), generation)];
+    let mut present = vec![(name.clone(), generation)];
     let mut states = [0; 4];
     for member in value.get("members")?.as_array()? {
         let state = member.get("state")?.as_str()?;
         let at = ["alive", "suspect", "gone", "left"].iter().position(|s| *s == state)?;
         states[at] += 1;
         if at < 2 {
-            who.push((member.get("name")?.as_str()?.to_owned(), member.get("generation")?.as_u64()?));
+            present.push((member.get("name")?.as_str()?.to_owned(), member.get("generation")?.as_u64()?));
         }
     }
     let flag = |name: &str| value.get(name).and_then(Value::as_bool).unwrap_or(false);
     let look = Look {
         generation,
-        who,
+        who: present,
         at_work: number("at_work")? as u32,
         reached: number("reached")? as usize,
         known: number("known")? as usize,
@@ -911,16 +954,16 @@
             line += &format!("  {word}");
         }
     }
-    let rate = value.get("budgets").and_then(|budgets| budgets.get("wholes")?.get(0));
-    let figure = |name: &str| rate.and_then(|rate| rate.get(name)?.as_f64());
-    let part = figure("part").unwrap_or_default();
-    if let Some(whole) = figure("whole") {
-        line += &format!("  part {part:.1} of {whole:.0}");
+    let rate_limit = value.get("budgets").and_then(|budgets| budgets.get("wholes")?.get(0));
+    let number_of = |name: &str| rate_limit.and_then(|limit| limit.get(name)?.as_f64());
+    let share = number_of("part").unwrap_or_default();
+    if let Some(whole) = number_of("whole") {
+        line += &format!("  part {share:.1} of {whole:.0}");
     }
-    Some((look, line, part))
+    Some((look, line, share))
 }
 
-/// The settings of a sidecar as the platform would give them.
+/// Returns the settings of a sidecar as the platform would provide them.
 pub fn sidecar_settings(zones: &[String], zone: usize, rank: usize, instances: usize) -> Value {
     let class = json!({"name": "plan", "slo-ns": 800_000_000u64, "deadline-ns": 3_000_000_000u64, "worth": 3.0,
         "late-value": 0.5, "effect": "read_like", "dedup-scope": "all", "key-ttl-ns": 5_000_000_000u64});
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,7 +1,7 @@
-//! The rig: several processes of the real program on loopback, with stand-ins for discovery and backend servers round
-//! them, a load on each, and faults between any two of them by a script. `docs/fleet-rig.md` says how.
+//! Test rig that starts several processes of the real program on loopback, with stub discovery and stub endpoints, puts
+//! a load on each process, and injects faults between any two of them according to a script. See `docs/fleet-rig.md`.
 //!
-//! It runs beside the daemon, never in it, and has a clock, sockets and tasks of its own.
+//! The rig is never part of the sidecar process; it uses its own clock, sockets and tasks.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 #![allow(clippy::disallowed_methods)]
@@ -11,10 +11,10 @@
 mod load;
 mod process;
 mod relay;
-mod standin;
+mod stubs;
 
 pub use addresses::free_addresses;
-pub use fleet::{Options, RigReport, RigShare, Watch, run, sidecar_settings};
+pub use fleet::{BudgetReport, Options, Progress, RigReport, run, sidecar_settings};
 pub use load::Outcomes;
 pub use process::{Guard, Process};
-pub use standin::{Backends, Open, discovery, hear};
+pub use stubs::{OpenRequests, StubEndpoints, read_message, stub_discovery};
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -1,6 +1,6 @@
-//! The load: an open loop of requests on each member, each on a connection of its own, and what becomes of them.
+//! Requests of the load generator, each on its own connection, and their outcomes.
 
-use crate::standin::hear;
+use crate::stubs::read_message;
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,18 +8,18 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// What became of requests.
+/// Number of requests by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Outcomes {
-    /// Answered with 200.
+    /// Requests with a 200 response.
     pub served: u64,
-    /// Answered with 503.
+    /// Requests that the sidecar rejected with 503.
     pub denied: u64,
-    /// Answered otherwise.
+    /// Requests with any other response.
     pub failed: u64,
-    /// The connection could not be opened, or the request met the end of its process.
+    /// Requests whose connection could not be opened, or without a response from a process that a fault disturbed.
     pub unmet: u64,
-    /// Never answered although the process lived and ran all the time.
+    /// Requests without a response although the process was running undisturbed all the time.
     pub lost: u64,
 }
 
@@ -30,41 +30,41 @@
     }
 }
 
-/// How one request ended.
+/// Outcome of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
-    /// 200.
+pub enum RequestOutcome {
+    /// Response with status 200.
     Served,
-    /// 503.
-    Denied,
-    /// Another answer.
+    /// Response with status 503.
+    Rejected,
+    /// Response with any other status.
     Failed,
-    /// Nobody listened.
-    Unmet,
-    /// No whole answer in time.
-    Lost,
+    /// The connection could not be opened.
+    NotConnected,
+    /// No complete response in time.
+    Unanswered,
 }
 
-static NUMBER: AtomicU64 = AtomicU64::new(1);
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// One request: `GET /plan/N`, whose client waits for 2 s, of a tenant if one is named.
-pub async fn request(to: SocketAddr, tenant: Option<&str>) -> Ended {
-    let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+/// Sends `GET /plan/N` with a budget of 2 s, for the given tenant if there is one.
+pub async fn request(to: SocketAddr, tenant: Option<&str>) -> RequestOutcome {
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let connected = tokio::time::timeout(Duration::from_secs(1), TcpStream::connect(to)).await;
-    let Ok(Ok(mut stream)) = connected else { return Ended::Unmet };
-    let caller = tenant.map(|tenant| format!("X-Caller: {tenant}\r\n")).unwrap_or_default();
-    let asked = format!(
-        "GET /plan/{number} HTTP/1.1\r\nHost: h\r\nX-Call-Id: {number:016x}\r\nX-Budget: 2000m\r\n{caller}Connection: close\r\n\r\n"
+    let Ok(Ok(mut stream)) = connected else { return RequestOutcome::NotConnected };
+    let tenant_header = tenant.map(|tenant| format!("X-Caller: {tenant}\r\n")).unwrap_or_default();
+    let head = format!(
+        "GET /plan/{number} HTTP/1.1\r\nHost: h\r\nX-Call-Id: {number:016x}\r\nX-Budget: 2000m\r\n{tenant_header}Connection: close\r\n\r\n"
     );
-    let answered = async {
-        stream.write_all(asked.as_bytes()).await.ok()?;
-        hear(&mut stream, &mut Vec::new()).await.ok().flatten()
+    let exchange = async {
+        stream.write_all(head.as_bytes()).await.ok()?;
+        read_message(&mut stream, &mut Vec::new()).await.ok().flatten()
     };
-    // Far beyond the budget: an answer that is late as the machine is busy is not lost.
-    match tokio::time::timeout(Duration::from_secs(8), answered).await {
-        Ok(Some(answer)) if answer.starts_with("HTTP/1.1 200") => Ended::Served,
-        Ok(Some(answer)) if answer.starts_with("HTTP/1.1 503") => Ended::Denied,
-        Ok(Some(_)) => Ended::Failed,
-        _ => Ended::Lost,
+    // The timeout is far beyond the budget, so that a response delayed by a busy machine does not count as lost.
+    match tokio::time::timeout(Duration::from_secs(8), exchange).await {
+        Ok(Some(response)) if response.starts_with("HTTP/1.1 200") => RequestOutcome::Served,
+        Ok(Some(response)) if response.starts_with("HTTP/1.1 503") => RequestOutcome::Rejected,
+        Ok(Some(_)) => RequestOutcome::Failed,
+        _ => RequestOutcome::Unanswered,
     }
 }
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -1,5 +1,5 @@
-//! The relay: it owns the addresses that members advertise, and does to what passes what the script says, by ordered pair.
-//! Who sends is known by its source address, as each process sends from an address of its own.
+//! Relay that owns the advertised addresses of the members and injects the scripted faults for each ordered pair of
+//! members. The sender is identified by its source address, as each process sends from its own address.
 
 use cometcroft_script::Wire;
 use std::collections::HashMap;
@@ -11,50 +11,50 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 
-/// Connections through one address at once.
-const CONNECTIONS: usize = 256;
-/// What waits on a narrow way for longer is lost.
-const QUEUED: Duration = Duration::from_secs(1);
-/// A connection through a cut is held silent for so long at most.
-const HELD: Duration = Duration::from_secs(30);
+/// Maximum number of concurrent connections through one address.
+const MAX_CONNECTIONS: usize = 256;
+/// Datagrams that would wait longer on a link with limited bandwidth are dropped.
+const MAX_QUEUEING_DELAY: Duration = Duration::from_secs(1);
+/// Maximum lifetime of a connection, and the time for which one through a cut link is held without data.
+const MAX_CONNECTION_TIME: Duration = Duration::from_secs(30);
 
-/// One place: where its process listens, and where the others reach it.
+/// Addresses of one member: where its process listens, and where the others reach it.
 #[derive(Debug, Clone, Copy)]
-pub struct Place {
-    /// The process' own address.
+pub struct MemberAddresses {
+    /// Address at which the process listens.
     pub own: SocketAddrV4,
-    /// The relay's, which it advertises.
-    pub reached: SocketAddrV4,
+    /// Address of the relay, which the process advertises.
+    pub advertised: SocketAddrV4,
 }
 
-/// What passed and what did not.
+/// Counters of the relayed traffic.
 #[derive(Debug, Default)]
-pub struct Passed {
-    /// Datagrams passed on, copies among them.
+pub struct RelayCounters {
+    /// Datagrams forwarded, including duplicates.
     pub datagrams: AtomicU64,
-    /// Their bytes.
+    /// Bytes of the forwarded datagrams.
     pub bytes: AtomicU64,
-    /// Datagrams lost on purpose.
-    pub lost: AtomicU64,
-    /// Connections passed on.
+    /// Datagrams dropped on purpose.
+    pub dropped: AtomicU64,
+    /// Connections forwarded.
     pub connections: AtomicU64,
 }
 
-/// The relay of a fleet.
+/// Relay between the members of a fleet.
 pub struct Relay {
-    places: Vec<Place>,
+    addresses: Vec<MemberAddresses>,
     sockets: Vec<Arc<UdpSocket>>,
     wires: Mutex<HashMap<(usize, usize), Wire>>,
-    /// When a narrow way is free again.
-    free: Mutex<HashMap<(usize, usize), Instant>>,
+    /// Time at which a link with limited bandwidth can send the next datagram.
+    free_at: Mutex<HashMap<(usize, usize), Instant>>,
     rng: Mutex<fastrand::Rng>,
-    /// What passed.
-    pub passed: Passed,
+    /// Counters of the relayed traffic.
+    pub counters: RelayCounters,
 }
 
-/// Binds both kinds of socket on one port that the system picks.
+/// Binds a UDP and a TCP socket to the same port, which the system picks.
 async fn bind_both(ip: Ipv4Addr) -> io::Result<(UdpSocket, TcpListener, u16)> {
-    let mut last = io::Error::other("no port");
+    let mut last = io::Error::other("no port is free for both UDP and TCP");
     for _ in 0..20 {
         let socket = UdpSocket::bind((ip, 0)).await?;
         let port = socket.local_addr()?.port();
@@ -67,47 +67,48 @@
 }
 
 impl Relay {
-    /// A relay for so many places: the process of place i is at `own(i)`, and is reached at `reached(i)`.
+    /// Starts a relay for `count` members: the process of member i listens at `own(i)` and is reached at
+    /// `advertised(i)`.
     pub async fn start(
         count: usize,
         own: impl Fn(usize) -> Ipv4Addr,
-        reached: impl Fn(usize) -> Ipv4Addr,
+        advertised: impl Fn(usize) -> Ipv4Addr,
         seed: u64,
     ) -> io::Result<Arc<Relay>> {
-        let (mut places, mut sockets, mut listeners) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut addresses, mut sockets, mut listeners) = (Vec::new(), Vec::new(), Vec::new());
         for i in 0..count {
-            let (socket, listener, port) = bind_both(reached(i)).await?;
-            // Reserved for a moment only; the address is this place's alone, so nobody else takes it.
-            let free = bind_both(own(i)).await?.2;
-            places.push(Place {
-                own: SocketAddrV4::new(own(i), free),
-                reached: SocketAddrV4::new(reached(i), port),
+            let (socket, listener, port) = bind_both(advertised(i)).await?;
+            // Not kept bound: only this member uses the IP address, so nothing else takes the port.
+            let own_port = bind_both(own(i)).await?.2;
+            addresses.push(MemberAddresses {
+                own: SocketAddrV4::new(own(i), own_port),
+                advertised: SocketAddrV4::new(advertised(i), port),
             });
             sockets.push(Arc::new(socket));
             listeners.push(listener);
         }
         let relay = Arc::new(Relay {
-            places,
+            addresses,
             sockets,
             wires: Mutex::default(),
-            free: Mutex::default(),
+            free_at: Mutex::default(),
             rng: Mutex::new(fastrand::Rng::with_seed(seed)),
-            passed: Passed::default(),
+            counters: RelayCounters::default(),
         });
         for (i, listener) in listeners.into_iter().enumerate() {
-            tokio::spawn(relay.clone().datagrams(i));
-            tokio::spawn(relay.clone().connections(i, listener));
+            tokio::spawn(relay.clone().relay_datagrams(i));
+            tokio::spawn(relay.clone().accept_connections(i, listener));
         }
         Ok(relay)
     }
 
-    /// A place's addresses.
-    pub fn place(&self, i: usize) -> Place {
-        self.places[i]
+    /// Returns the addresses of a member.
+    pub fn addresses(&self, i: usize) -> MemberAddresses {
+        self.addresses[i]
     }
 
-    /// From now on this is what becomes of what one place sends another.
-    pub fn wire(&self, from: usize, to: usize, wire: Wire) {
+    /// Sets the faults for the traffic from one member to another.
+    pub fn set_wire(&self, from: usize, to: usize, wire: Wire) {
         let mut wires = self.wires.lock().unwrap_or_else(PoisonError::into_inner);
         if wire == Wire::default() {
             wires.remove(&(from, to))
@@ -116,52 +117,52 @@
         };
     }
 
-    fn on(&self, from: usize, to: usize) -> Wire {
+    fn wire_between(&self, from: usize, to: usize) -> Wire {
         let wires = self.wires.lock().unwrap_or_else(PoisonError::into_inner);
         wires.get(&(from, to)).copied().unwrap_or_default()
     }
 
-    fn sender(&self, ip: IpAddr) -> Option<usize> {
-        self.places.iter().position(|place| IpAddr::V4(*place.own.ip()) == ip)
+    fn sender_index(&self, ip: IpAddr) -> Option<usize> {
+        self.addresses.iter().position(|member| IpAddr::V4(*member.own.ip()) == ip)
     }
 
-    async fn datagrams(self: Arc<Self>, to: usize) {
+    async fn relay_datagrams(self: Arc<Self>, to: usize) {
         let mut buffer = vec![0; 2048];
         loop {
             let Ok((length, from)) = self.sockets[to].recv_from(&mut buffer).await else {
                 tokio::time::sleep(Duration::from_millis(5)).await;
                 continue;
             };
-            let Some(sender) = self.sender(from.ip()) else { continue };
-            let wire = self.on(sender, to);
+            let Some(sender) = self.sender_index(from.ip()) else { continue };
+            let wire = self.wire_between(sender, to);
             let mut bytes = buffer[..length].to_vec();
-            let (lost, copies, late) = {
+            let (lost, copies, delays) = {
                 let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
                 if length > 0 && rng.f64() < wire.turned {
                     let at = rng.usize(..length);
                     bytes[at] ^= 1 << rng.u32(..8);
                 }
                 let copies = 1 + usize::from(rng.f64() < wire.copies);
-                let late: Vec<Duration> =
+                let delays: Vec<Duration> =
                     (0..copies).map(|_| wire.delay + wire.jitter.mul_f64(rng.f64())).collect();
-                (wire.cut || rng.f64() < wire.loss, copies, late)
+                (wire.cut || rng.f64() < wire.loss, copies, delays)
             };
-            let queued = self.queued(sender, to, wire.pace, length);
-            if lost || queued.is_none() {
-                self.passed.lost.fetch_add(1, Ordering::Relaxed);
+            let queueing_delay = self.queueing_delay(sender, to, wire.pace, length);
+            if lost || queueing_delay.is_none() {
+                self.counters.dropped.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
-            self.passed.datagrams.fetch_add(copies as u64, Ordering::Relaxed);
-            self.passed.bytes.fetch_add((copies * length) as u64, Ordering::Relaxed);
-            let own = SocketAddr::V4(self.places[to].own);
-            for late in late.into_iter().map(|late| late + queued.unwrap_or_default()) {
-                // Sent on from the sender's advertised address, where the receiver knows it.
-                if late.is_zero() {
+            self.counters.datagrams.fetch_add(copies as u64, Ordering::Relaxed);
+            self.counters.bytes.fetch_add((copies * length) as u64, Ordering::Relaxed);
+            let own = SocketAddr::V4(self.addresses[to].own);
+            for delay in delays.into_iter().map(|delay| delay + queueing_delay.unwrap_or_default()) {
+                // Forwarded from the sender's advertised address, because the receiver knows the sender by it.
+                if delay.is_zero() {
                     let _ = self.sockets[sender].send_to(&bytes, own).await;
                 } else {
                     let (relay, bytes) = (self.clone(), bytes.clone());
                     tokio::spawn(async move {
-                        tokio::time::sleep(late).await;
+                        tokio::time::sleep(delay).await;
                         let _ = relay.sockets[sender].send_to(&bytes, own).await;
                     });
                 }
@@ -169,61 +170,62 @@
         }
     }
 
-    /// How long a datagram waits on a narrow way; `None` if it is lost there.
-    fn queued(&self, from: usize, to: usize, pace: f64, length: usize) -> Option<Duration> {
+    /// Returns how long a datagram waits on a link with limited bandwidth, or `None` if the link drops it.
+    fn queueing_delay(&self, from: usize, to: usize, pace: f64, length: usize) -> Option<Duration> {
         if pace <= 0.0 {
             return Some(Duration::ZERO);
         }
-        let mut free = self.free.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut free_at = self.free_at.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        let at = (*free.entry((from, to)).or_insert(now)).max(now);
+        let at = (*free_at.entry((from, to)).or_insert(now)).max(now);
         let queued = at - now;
-        if queued > QUEUED {
+        if queued > MAX_QUEUEING_DELAY {
             return None;
         }
-        free.insert((from, to), at + Duration::from_secs_f64(length as f64 / pace));
+        free_at.insert((from, to), at + Duration::from_secs_f64(length as f64 / pace));
         Some(queued)
     }
 
-    /// Waits until connections between two are reset.
-    async fn is_reset(&self, a: usize, b: usize) {
-        while !(self.on(a, b).reset || self.on(b, a).reset) {
+    /// Waits until the script resets the connections between two members.
+    async fn wait_for_reset(&self, a: usize, b: usize) {
+        while !(self.wire_between(a, b).reset || self.wire_between(b, a).reset) {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    async fn connections(self: Arc<Self>, to: usize, listener: TcpListener) {
-        let open = Arc::new(tokio::sync::Semaphore::new(CONNECTIONS));
+    async fn accept_connections(self: Arc<Self>, to: usize, listener: TcpListener) {
+        let open = Arc::new(tokio::sync::Semaphore::new(MAX_CONNECTIONS));
         loop {
             let Ok((stream, from)) = listener.accept().await else {
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            let Some(sender) = self.sender(from.ip()) else { continue };
+            let Some(sender) = self.sender_index(from.ip()) else { continue };
             let Ok(permit) = open.clone().try_acquire_owned() else { continue };
             let relay = self.clone();
             tokio::spawn(async move {
-                let _ = tokio::time::timeout(HELD, relay.pass(stream, sender, to)).await;
+                let _ = tokio::time::timeout(MAX_CONNECTION_TIME, relay.relay_connection(stream, sender, to))
+                    .await;
                 drop(permit);
             });
         }
     }
 
-    /// Passes a connection on. Danger: one that was closed at a cut would tell of it; a cut is silent, so what comes is
-    /// dropped and the connection held.
-    async fn pass(&self, mut near: TcpStream, from: usize, to: usize) -> io::Result<()> {
-        if self.on(from, to).reset || self.on(to, from).reset {
-            return broken(&near);
+    /// Forwards a connection. Over a cut link, data is dropped and the connection is held open: closing it would show
+    /// the fault to the members, and a real network partition gives no sign.
+    async fn relay_connection(&self, mut near: TcpStream, from: usize, to: usize) -> io::Result<()> {
+        if self.wire_between(from, to).reset || self.wire_between(to, from).reset {
+            return reset_on_drop(&near);
         }
-        if self.on(from, to).cut || self.on(to, from).cut {
-            tokio::time::sleep(HELD).await;
+        if self.wire_between(from, to).cut || self.wire_between(to, from).cut {
+            tokio::time::sleep(MAX_CONNECTION_TIME).await;
             return Ok(());
         }
-        self.passed.connections.fetch_add(1, Ordering::Relaxed);
+        self.counters.connections.fetch_add(1, Ordering::Relaxed);
         let socket = TcpSocket::new_v4()?;
-        socket.bind(SocketAddr::from((*self.places[from].reached.ip(), 0)))?;
-        let mut far = socket.connect(self.places[to].own.into()).await?;
-        let passed = {
+        socket.bind(SocketAddr::from((*self.addresses[from].advertised.ip(), 0)))?;
+        let mut far = socket.connect(self.addresses[to].own.into()).await?;
+        let result = {
             let ((near_in, near_out), (far_in, far_out)) = (near.split(), far.split());
             let both = async {
                 let there = self.copy(near_in, far_out, from, to);
@@ -231,13 +233,13 @@
                 there.and(back)
             };
             tokio::select! {
-                passed = both => Some(passed),
-                () = self.is_reset(from, to) => None,
+                result = both => Some(result),
+                () = self.wait_for_reset(from, to) => None,
             }
         };
-        match passed {
-            Some(passed) => passed,
-            None => broken(&near).and(broken(&far)),
+        match result {
+            Some(result) => result,
+            None => reset_on_drop(&near).and(reset_on_drop(&far)),
         }
     }
 
@@ -251,9 +253,9 @@
         let mut buffer = vec![0; 8192];
         loop {
             let read = input.read(&mut buffer).await?;
-            let wire = self.on(from, to);
+            let wire = self.wire_between(from, to);
             if wire.cut {
-                tokio::time::sleep(HELD).await;
+                tokio::time::sleep(MAX_CONNECTION_TIME).await;
                 return Ok(());
             }
             if !(wire.delay + wire.jitter).is_zero() {
@@ -270,8 +272,8 @@
     }
 }
 
-/// Has a connection end with a reset once it is dropped.
-fn broken(stream: &TcpStream) -> io::Result<()> {
+/// Makes a connection end with a reset when it is dropped.
+fn reset_on_drop(stream: &TcpStream) -> io::Result<()> {
     stream.set_zero_linger()
 }
 
--- a/crates/sidecar/tests/fleet.rs
+++ b/crates/sidecar/tests/fleet.rs
@@ -13,7 +13,7 @@
 
 fn options() -> Options {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_cometcroft"));
-    Options { program, logs: None, backends: 3, until: None }
+    Options { program, logs: None, endpoints: 3, stop: None }
 }
 
 fn play(name: &str, seed: u64) -> RigReport {
