--- a/crates/lab/src/chart.rs
+++ b/crates/lab/src/chart.rs
@@ -1,12 +1,12 @@
 //! SVG charts of fleet runs.
 
-use cometcroft_rig::RigShare;
+use cometcroft_rig::BudgetReport;
 use plotters::prelude::*;
 use std::error::Error;
 use std::path::Path;
 
 /// Draws the sum of the shares of a budget and the request rate that the endpoints received, against the limit.
-pub fn draw_budget(path: &Path, title: &str, budget: &RigShare) -> Result<(), Box<dyn Error>> {
+pub fn draw_budget(path: &Path, title: &str, budget: &BudgetReport) -> Result<(), Box<dyn Error>> {
     let end = budget.line.last().map_or(1.0, |(at, ..)| at.max(1.0));
     // The receive rate is sampled about four times a second. Average it over one second, as the limit is a rate per
     // second.
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -4,7 +4,7 @@
 use cometcroft_emulator::fleet::{FleetReport, FleetRun};
 use cometcroft_emulator::share::{Divide, ShareReport};
 use cometcroft_membership::Features;
-use cometcroft_rig::{Options, Outcomes, RigReport, RigShare};
+use cometcroft_rig::{BudgetReport, Options, Outcomes, RigReport};
 use cometcroft_script::{Plan, SHIPPED, Script, Violation};
 use cometcroft_tomlfile::{Span, Time};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -185,7 +185,7 @@
             let script = Script::find(&script)?;
             let seed = seed.or(script.fleet.seed).unwrap_or(1);
             let plan = Plan::draw(&script, seed, processes.map(usize::from));
-            let options = Options { program: find_program(program)?, logs, backends: 3, until: None };
+            let options = Options { program: find_program(program)?, logs, endpoints: 3, stop: None };
             let report = cometcroft_rig::run(&plan, &options, &mut progress())?;
             if json {
                 println!("{}", serde_json::to_string_pretty(&report)?);
@@ -280,7 +280,7 @@
 
 /// Formats, for each second, the sum of the shares as a bar relative to the limit and the request rate that the
 /// endpoints received. A bar that reaches the `|` has used the limit up; the rest of it exceeds the limit.
-fn format_timeline(budget: &RigShare) -> String {
+fn format_timeline(budget: &BudgetReport) -> String {
     let width = 50.0;
     let mut text = String::new();
     let last = budget.line.last().map_or(0.0, |(at, ..)| *at) as u64;
@@ -488,7 +488,7 @@
     let stop = Arc::new(AtomicBool::new(false));
     let interrupted = stop.clone();
     ctrlc::set_handler(move || interrupted.store(true, Ordering::SeqCst))?;
-    let options = Options { program, logs: None, backends: 3, until: Some(stop) };
+    let options = Options { program, logs: None, endpoints: 3, stop: Some(stop) };
     let (terminal, mut last, mut drawn_lines) = (std::io::stdout().is_terminal(), Duration::ZERO, 0);
     println!(
         "a fleet of {processes} with stand-ins; {:.0} requests a second each; Ctrl-C ends it",
